--- a/src/policy/ask.rs
+++ b/src/policy/ask.rs
@@ -1,60 +1,60 @@
-//! What a pool is asked, what it decides and what it is told.
+//! Calls, outcomes and actions: the interface of a pool.
 
 use crate::code::Failure;
 use crate::id::{self, Permit, Server, Tokens, Zone};
 use serde::{Deserialize, Serialize};
 
-/// A call that asks for a server.
+/// A call that needs a server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ask {
-    /// The program.
+    /// Program that makes the call.
     pub program: id::Program,
-    /// Its class.
+    /// Class of the program.
     pub class: Option<id::Class>,
-    /// Time left of the class target, less the estimate of what the program still has to do, in
-    /// milliseconds; below zero when it is late.
+    /// Time until the program's deadline minus its estimated remaining time, in milliseconds;
+    /// negative if it is expected to be late.
     pub slack_ms: i64,
-    /// The estimate of what the whole program still has to do, in milliseconds.
+    /// Estimated remaining time of the whole program, in milliseconds; 0 if unknown.
     #[serde(default)]
     pub remaining_ms: u64,
-    /// Tokens of the whole prompt, estimated.
+    /// Estimated tokens of the whole prompt.
     pub prompt: Tokens,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: Tokens,
-    /// Servers that may hold cache for the program.
+    /// Servers that may have cached the program.
     pub resident: Vec<Server>,
-    /// Servers not to be given: they have failed this call.
+    /// Servers on which this call has failed.
     pub avoid: Vec<Server>,
-    /// The availability zone of the VM that asks.
+    /// Availability zone of the VM that makes the call.
     pub zone: Option<Zone>,
 }
 
-/// How a granted call ended.
+/// Result of a granted call.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Outcome {
-    /// Whether the server refused or broke the call.
+    /// Whether the server refused the call or failed during it.
     pub failed: bool,
-    /// Milliseconds from sending to the first token.
+    /// Milliseconds from sending the call to the first token.
     pub first_ms: f64,
     /// Milliseconds from the first token to the last.
     pub rest_ms: f64,
     /// Tokens of the prompt.
     pub prompt: Tokens,
-    /// Tokens of the prompt that were cached.
+    /// Prompt tokens that were cached.
     pub cached: Tokens,
-    /// Tokens generated.
+    /// Generated tokens.
     pub completion: Tokens,
 }
 
-/// What the pool decides.
+/// A decision of the pool.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// The call goes to this server now.
+    /// Send the call to this server now.
     Grant(Permit, Server),
-    /// The call is given up.
+    /// Refuse the call.
     Refuse(Permit, Failure),
-    /// The cache of a paused program is moved out of this server, to be imported later.
+    /// Export the cache of an idle program from this server, for a later import.
     Export(Server, id::Program),
 }
--- a/src/policy/estimate.rs
+++ b/src/policy/estimate.rs
@@ -1,32 +1,32 @@
-//! What a program still has to do, learned per class from the programs that have ended.
+//! Estimates of the remaining time and work of a program, learned per class.
 //!
-//! The shape of a program is not known until it runs. What remains is estimated from the programs
-//! of its class that had come as far: after as many answers.
+//! The number of turns of a program is not known in advance. What remains is estimated from earlier
+//! programs of the class after the same number of answers.
 
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Answers up to which each count has estimates of its own; beyond, they double.
-const EXACT: usize = 16;
-/// Stages of a class.
-const STAGES: usize = EXACT + 12;
-/// Programs after which the older half of what was learned is dropped.
-const GENERATION: u64 = 400;
-/// The longest remaining time told apart, in milliseconds.
-const LONGEST_MS: u64 = 7 * 24 * 3_600_000;
-/// Weight of the newest program in the mean of remaining work.
-const NEWEST: f64 = 0.05;
+/// Stages of a single answer; each later stage is twice as long as the one before.
+const EXACT_STAGES: usize = 16;
+/// Stages per class.
+const STAGE_COUNT: usize = EXACT_STAGES + 12;
+/// Programs per histogram. The last two histograms are kept, so that older programs fade out.
+const PROGRAMS_PER_HISTOGRAM: u64 = 400;
+/// Upper bound of the histograms, in milliseconds.
+const MAX_REMAINING_MS: u64 = 7 * 24 * 3_600_000;
+/// Weight of the newest program in the mean remaining work.
+const EWMA_WEIGHT: f64 = 0.05;
 
 fn stage(answers: usize) -> usize {
-    if answers < EXACT {
+    if answers < EXACT_STAGES {
         return answers;
     }
-    let doubled = (answers / EXACT).ilog2() as usize;
-    (EXACT + doubled).min(STAGES - 1)
+    let doublings = (answers / EXACT_STAGES).ilog2() as usize;
+    (EXACT_STAGES + doublings).min(STAGE_COUNT - 1)
 }
 
-/// What a program has done so far, kept by whoever runs it.
+/// Time and work that a program has spent so far.
 ///
 /// ```
 /// use std::time::Duration;
@@ -37,14 +37,16 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Track {
-    active: Duration,
+    /// Time in engines and tools, without queue time.
+    active_time: Duration,
     work_ms: f64,
-    marks: Vec<(usize, Duration, f64)>,
+    /// Stage, active time and engine time at the start of each stage.
+    stage_starts: Vec<(usize, Duration, f64)>,
     answers: usize,
 }
 
 impl Track {
-    /// A program met again after so many answers, whose past is not known.
+    /// A program taken over after this many answers, with unknown time and work.
     #[must_use]
     pub fn after(answers: usize) -> Self {
         Self {
@@ -53,20 +55,20 @@
         }
     }
 
-    /// Takes in an answer: how long the engine took, and the engine time that it cost.
+    /// Adds an answer that took `took` and cost `work_ms` of engine time.
     pub fn answer(&mut self, took: Duration, work_ms: f64) {
-        self.mark();
-        self.active += took;
+        self.record_stage();
+        self.active_time += took;
         self.work_ms += work_ms;
         self.answers += 1;
     }
 
-    /// Takes in time spent outside the engines, as in a tool call.
+    /// Adds time spent outside the engines, as in a tool call.
     pub fn outside(&mut self, took: Duration) {
-        self.active += took;
+        self.active_time += took;
     }
 
-    /// Takes in engine time that sub-agents spent.
+    /// Adds engine time spent by sub-agents.
     pub fn add_work(&mut self, work_ms: f64) {
         self.work_ms += work_ms;
     }
@@ -83,70 +85,79 @@
         self.work_ms
     }
 
-    fn mark(&mut self) {
+    fn record_stage(&mut self) {
         let stage = stage(self.answers);
-        if self.marks.last().is_none_or(|mark| mark.0 != stage) {
-            self.marks.push((stage, self.active, self.work_ms));
+        if self
+            .stage_starts
+            .last()
+            .is_none_or(|start| start.0 != stage)
+        {
+            self.stage_starts
+                .push((stage, self.active_time, self.work_ms));
         }
     }
 }
 
 #[derive(Debug)]
 struct Stage {
-    newer: Histogram<u64>,
-    older: Option<Histogram<u64>>,
-    work_ms: f64,
+    /// Remaining time in milliseconds.
+    current: Histogram<u64>,
+    previous: Option<Histogram<u64>>,
+    /// Moving average of the remaining engine time, in milliseconds.
+    mean_work_ms: f64,
 }
 
 impl Stage {
     fn new() -> Self {
-        let newer = Histogram::new_with_bounds(1, LONGEST_MS, 2).expect("the bounds are constant");
+        let current =
+            Histogram::new_with_bounds(1, MAX_REMAINING_MS, 2).expect("the bounds are constant");
         Self {
-            newer,
-            older: None,
-            work_ms: 0.0,
+            current,
+            previous: None,
+            mean_work_ms: 0.0,
         }
     }
 
-    fn take(&mut self, rest: Duration, work_ms: f64) {
-        let first = self.newer.is_empty() && self.older.is_none();
-        let weight = if first { 1.0 } else { NEWEST };
-        self.work_ms += weight * (work_ms - self.work_ms);
-        let rest = u64::try_from(rest.as_millis()).unwrap_or(LONGEST_MS);
-        self.newer.saturating_record(rest.clamp(1, LONGEST_MS));
-        if self.newer.len() >= GENERATION {
-            let fresh = Self::new().newer;
-            self.older = Some(std::mem::replace(&mut self.newer, fresh));
+    fn record(&mut self, remaining: Duration, work_ms: f64) {
+        let is_first = self.current.is_empty() && self.previous.is_none();
+        let weight = if is_first { 1.0 } else { EWMA_WEIGHT };
+        self.mean_work_ms += weight * (work_ms - self.mean_work_ms);
+        let remaining = u64::try_from(remaining.as_millis()).unwrap_or(MAX_REMAINING_MS);
+        self.current
+            .saturating_record(remaining.clamp(1, MAX_REMAINING_MS));
+        if self.current.len() >= PROGRAMS_PER_HISTOGRAM {
+            let empty = Self::new().current;
+            self.previous = Some(std::mem::replace(&mut self.current, empty));
         }
     }
 
-    fn quantile(&self, share: f64) -> u64 {
-        let newer = self.newer.value_at_quantile(share) as f64;
-        let Some(older) = &self.older else {
-            return self.newer.value_at_quantile(share);
+    fn quantile(&self, quantile: f64) -> u64 {
+        let current = self.current.value_at_quantile(quantile) as f64;
+        let Some(previous) = &self.previous else {
+            return self.current.value_at_quantile(quantile);
         };
-        let part = self.newer.len() as f64 / GENERATION as f64;
-        let older = older.value_at_quantile(share) as f64;
+        let weight = self.current.len() as f64 / PROGRAMS_PER_HISTOGRAM as f64;
+        let previous = previous.value_at_quantile(quantile) as f64;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "milliseconds"
         )]
-        let mixed = (newer * part + older * (1.0 - part)) as u64;
-        mixed
+        let blended = (current * weight + previous * (1.0 - weight)) as u64;
+        blended
     }
 }
 
 /// What remains of a program.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rest {
-    /// Time in engines and outside, without waiting.
+    /// Time in engines and tools, without queue time.
     pub time: Duration,
     /// Engine time, in milliseconds.
     pub work_ms: f64,
 }
 
-/// Estimates for every class.
+/// Estimates of all classes.
 ///
 /// ```
 /// use std::time::Duration;
@@ -166,28 +177,27 @@
 }
 
 impl Estimator {
-    /// Learns from a program that has ended by itself.
+    /// Learns from a program that ended by itself.
     pub fn ended(&mut self, class: &crate::id::Class, track: &Track) {
-        let fresh = || (0..STAGES).map(|_| None).collect();
-        let stages = self.classes.entry(class.clone()).or_insert_with(fresh);
-        for (stage, active, work_ms) in &track.marks {
-            let rest = track.active.saturating_sub(*active);
+        let empty = || (0..STAGE_COUNT).map(|_| None).collect();
+        let stages = self.classes.entry(class.clone()).or_insert_with(empty);
+        for (stage, active_time, work_ms) in &track.stage_starts {
+            let remaining = track.active_time.saturating_sub(*active_time);
             let stage = stages[*stage].get_or_insert_with(Stage::new);
-            stage.take(rest, track.work_ms - work_ms);
+            stage.record(remaining, track.work_ms - work_ms);
         }
     }
 
-    /// What remains of a program of this class after so many answers; a share `quantile` of
-    /// those seen needed at most this. None before any has been seen.
+    /// What remains of a program after this many answers. Its time is the given quantile over
+    /// earlier programs of the class; none if there were no such programs.
     #[must_use]
     pub fn rest(&self, class: &crate::id::Class, answers: usize, quantile: f64) -> Option<Rest> {
         let stages = self.classes.get(class)?;
-        // A program that has gone further than any before it is taken like those that went
-        // furthest.
-        let known = stages[..=stage(answers)].iter().rev().flatten().next()?;
+        // Falls back to the latest earlier stage that has data.
+        let nearest = stages[..=stage(answers)].iter().rev().flatten().next()?;
         Some(Rest {
-            time: Duration::from_millis(known.quantile(quantile)),
-            work_ms: known.work_ms,
+            time: Duration::from_millis(nearest.quantile(quantile)),
+            work_ms: nearest.mean_work_ms,
         })
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,6 +1,7 @@
-//! Which call goes to which backend server, and when.
+//! Scheduling policy: which call runs on which backend server, and when.
 //!
-//! Everything here is pure: events and the time come in, actions go out.
+//! The code here does no I/O and reads no clock: it takes events with the current time and returns
+//! actions.
 
 pub mod admit;
 pub mod allowance;
--- a/src/policy/prefix.rs
+++ b/src/policy/prefix.rs
@@ -1,26 +1,26 @@
-//! Which parts of prompts a server is believed to keep.
+//! Model of the prefix cache of a server.
 //!
-//! Load it answers: programs that start several sub-agents at once, each of which begins with all that
-//! its parent has read, and lines of turns that go on. A server that keeps the beginning of a prompt
-//! reads only the rest; while it reads, all that runs there stands still.
+//! A server that has cached the beginning of a prompt only reads the rest, and reading blocks all
+//! other requests on it. Sub-agents, whose prompts start with that of their parent, and further
+//! turns of a session profit from it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap};
 
-/// Parts that are remembered of one server, at the most; 100 bytes each.
-const PARTS: usize = 4096;
+/// Parts tracked per server.
+const MAX_PARTS: usize = 4096;
 
-/// One part of a prompt, as far as it is read.
+/// One part of a prompt, the unit of prefix caching.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Part {
-    /// A hash of its identity.
+    /// Hash of its identifier.
     pub id: u64,
-    /// Its tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// The parts that one server keeps; the least recently used leave first.
+/// The prompt parts that one server has cached, with least-recently-used eviction.
 ///
 /// ```
 /// use vanillatrail::policy::prefix::{Part, Prefixes};
@@ -32,43 +32,49 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Prefixes {
+    /// Tokens and last use of each part.
     parts: HashMap<u64, (u32, u64)>,
-    by_use: BTreeSet<(u64, u64)>,
-    tokens: u64,
-    uses: u64,
+    /// Last use and id of each part, least recently used first.
+    by_last_use: BTreeSet<(u64, u64)>,
+    total_tokens: u64,
+    /// Counts insertions; orders the parts by last use.
+    use_count: u64,
 }
 
 impl Prefixes {
     /// Tokens of a prompt that the server would have to read.
     #[must_use]
     pub fn missing(&self, prompt: &[Part]) -> u64 {
-        let mut missing = 0;
+        let mut uncached = 0;
         for part in prompt {
-            // What follows a gap is not used, though it may be kept.
-            let kept = self.parts.get(&part.id).filter(|_| missing == 0);
-            let kept = kept.map_or(0, |(tokens, _)| *tokens);
-            missing += u64::from(part.tokens.saturating_sub(kept));
+            // Only an unbroken prefix is reused.
+            let cached = self.parts.get(&part.id).filter(|_| uncached == 0);
+            let cached = cached.map_or(0, |(tokens, _)| *tokens);
+            uncached += u64::from(part.tokens.saturating_sub(cached));
         }
-        missing
+        uncached
     }
 
-    /// The server reads a prompt; it keeps `most` tokens in all.
-    pub fn read(&mut self, prompt: &[Part], most: u64) {
+    /// Inserts the parts of a prompt that the server reads. Evicts parts beyond a capacity of
+    /// `max_tokens`.
+    pub fn read(&mut self, prompt: &[Part], max_tokens: u64) {
         for part in prompt {
-            self.uses += 1;
-            if let Some((tokens, used)) = self.parts.insert(part.id, (part.tokens, self.uses)) {
-                self.tokens -= u64::from(tokens);
-                self.by_use.remove(&(used, part.id));
+            self.use_count += 1;
+            if let Some((tokens, last_use)) =
+                self.parts.insert(part.id, (part.tokens, self.use_count))
+            {
+                self.total_tokens -= u64::from(tokens);
+                self.by_last_use.remove(&(last_use, part.id));
             }
-            self.tokens += u64::from(part.tokens);
-            self.by_use.insert((self.uses, part.id));
+            self.total_tokens += u64::from(part.tokens);
+            self.by_last_use.insert((self.use_count, part.id));
         }
-        while self.tokens > most || self.parts.len() > PARTS {
-            let Some((_, id)) = self.by_use.pop_first() else {
+        while self.total_tokens > max_tokens || self.parts.len() > MAX_PARTS {
+            let Some((_, id)) = self.by_last_use.pop_first() else {
                 return;
             };
             if let Some((tokens, _)) = self.parts.remove(&id) {
-                self.tokens -= u64::from(tokens);
+                self.total_tokens -= u64::from(tokens);
             }
         }
     }
