--- a/src/policy/backlog.rs
+++ b/src/policy/backlog.rs
@@ -1,11 +1,11 @@
-//! The servers of one service and the requests that wait for them.
+//! The servers and the queue of one service.
 
 use super::candidates::Candidates;
 use super::dispatch::{Ask, Crowd, Description};
-use super::flow::Flow;
+use super::flow::GrantRate;
 use super::programs::Programs;
-use super::queue::{Band, Order, Queue};
-use super::standing::Standing;
+use super::queue::{Band, Prioritized, Queue};
+use super::standing::Priority;
 use super::window::{Server, choose};
 use crate::id::Permit;
 use std::collections::HashMap;
@@ -13,120 +13,136 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Requests that are looked at for each chance to grant.
-pub(super) const SCAN: usize = 32;
-/// The bounds of the time after which a refused caller may come back.
-const COME_BACK: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(2));
+/// Queued requests considered per attempt to grant.
+pub(super) const MAX_SCANNED: usize = 32;
+/// Bounds of the Retry-After of a refused request.
+const RETRY_AFTER_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(300), Duration::from_secs(2));
 
-/// A request that waits.
 #[derive(Debug)]
-pub(super) struct Waiting {
-    pub(super) ask: Ask,
-    pub(super) standing: Standing,
+pub(super) struct QueuedRequest {
+    pub(super) request: Ask,
+    pub(super) priority: Priority,
 }
 
-impl Waiting {
-    pub(super) fn is_held(&self, clock: i64) -> bool {
-        let held = i64::try_from(self.ask.held().as_millis()).unwrap_or(i64::MAX);
-        self.standing.asked + held < clock
+impl QueuedRequest {
+    pub(super) fn late_wait_expired(&self, now_ms: i64) -> bool {
+        let max_wait_ms =
+            i64::try_from(self.request.max_late_wait().as_millis()).unwrap_or(i64::MAX);
+        self.priority.arrival_ms + max_wait_ms < now_ms
     }
 }
 
-impl Order for Waiting {
-    const LATE_SHARE: u64 = Standing::LATE_SHARE;
+impl Prioritized for QueuedRequest {
+    const LATE_GRANT_INTERVAL: u64 = Priority::LATE_GRANT_INTERVAL;
 
-    fn band(&self, now: i64) -> (Band, i64) {
-        self.standing.band(now)
+    fn band(&self, now_ms: i64) -> (Band, i64) {
+        self.priority.band(now_ms)
     }
 
-    fn key(&self, band: Band) -> i64 {
-        self.standing.key(band)
+    fn sort_key(&self, band: Band) -> i64 {
+        self.priority.sort_key(band)
     }
 }
 
-/// The servers of one service and the requests that wait for them.
+/// The servers and the queue of one service.
 #[derive(Debug, Default)]
-pub(super) struct Pool {
+pub(super) struct ServicePool {
     pub(super) servers: Vec<Server>,
     pub(super) candidates: Candidates,
-    pub(super) queue: Queue<Waiting>,
-    pub(super) flow: Flow,
-    /// Of those that went to programs that were not admitted.
-    pub(super) late: Flow,
+    pub(super) queue: Queue<QueuedRequest>,
+    pub(super) grant_rate: GrantRate,
+    /// Grants to requests of late or not admitted programs.
+    pub(super) late_grant_rate: GrantRate,
     pub(super) programs: Programs,
-    /// The usual time for one unit of work, in milliseconds.
-    pub(super) pace: Option<f64>,
+    /// Moving average of the latency per unit of work, in milliseconds; none before the first
+    /// response.
+    pub(super) mean_ms_per_work: Option<f64>,
 }
 
-impl Pool {
-    /// Sets the servers; what runs on one that is gone is left to end.
-    pub(super) fn configure(&mut self, mut wanted: HashMap<Arc<str>, Description>) {
+impl ServicePool {
+    /// Replaces the set of servers. In-flight requests of removed servers continue.
+    pub(super) fn set_servers(&mut self, mut infos: HashMap<Arc<str>, Description>) {
         self.servers.retain_mut(|server| {
-            let Some(about) = wanted.remove(&server.about.id) else {
+            let Some(info) = infos.remove(&server.info.id) else {
                 return false;
             };
-            server.about = about;
+            server.info = info;
             true
         });
-        self.servers.extend(wanted.into_values().map(Server::new));
-        let servers = self.servers.iter().map(|server| &server.about);
+        self.servers.extend(infos.into_values().map(Server::new));
+        let servers = self.servers.iter().map(|server| &server.info);
         self.candidates
-            .configure(servers.map(|about| (&about.id, &about.zone)));
+            .configure(servers.map(|info| (&info.id, &info.zone)));
     }
 
-    /// Sets one server.
-    pub(super) fn set(&mut self, about: Description) {
-        let known = self.candidates.find(&about.id);
-        if let Some(number) = known.filter(|number| self.servers[*number].about.zone == about.zone)
-        {
-            self.servers[number].about = about;
+    /// Adds or updates a server. One whose zone has changed is added as a new one.
+    pub(super) fn update_server(&mut self, info: Description) {
+        let known = self.candidates.find(&info.id);
+        if let Some(index) = known.filter(|index| self.servers[*index].info.zone == info.zone) {
+            self.servers[index].info = info;
             return;
         }
-        self.remove(&about.id);
-        self.candidates.add(&about.id, &about.zone);
-        self.servers.push(Server::new(about));
+        self.remove_server(&info.id);
+        self.candidates.add(&info.id, &info.zone);
+        self.servers.push(Server::new(info));
     }
 
-    /// Takes one server out; what runs on it is left to end.
-    pub(super) fn remove(&mut self, id: &str) {
-        let Some(number) = self.candidates.find(id) else {
+    /// Removes a server. Its in-flight requests continue.
+    pub(super) fn remove_server(&mut self, id: &str) {
+        let Some(index) = self.candidates.find(id) else {
             return;
         };
-        let (removed, last) = (&self.servers[number].about, self.servers.last());
-        if let Some(Server { about, .. }) = last {
-            let gone = (&*removed.id, &*removed.zone);
-            self.candidates.remove(gone, (&about.id, &about.zone));
+        let (removed, last) = (&self.servers[index].info, self.servers.last());
+        if let Some(Server { info, .. }) = last {
+            let removed_key = (&*removed.id, &*removed.zone);
+            self.candidates.remove(removed_key, (&info.id, &info.zone));
         }
-        self.servers.swap_remove(number);
+        self.servers.swap_remove(index);
     }
 
-    /// The best server with room for a request; none where none has room.
+    /// Index of the best server with room for a request. Falls back to all servers if no candidate
+    /// has room.
     pub(super) fn choose(
         &self,
         now: Instant,
         permit: Permit,
-        ask: &Ask,
+        request: &Ask,
         band: Band,
-        line: Option<&Arc<str>>,
+        session_server: Option<&Arc<str>>,
     ) -> Option<usize> {
-        let candidates = self.candidates.of(permit, ask, line);
-        let few = candidates.len() < self.servers.len();
-        let chosen = choose(&self.servers, candidates, ask, band, line, now);
-        if chosen.is_some() || !few {
+        let candidates = self.candidates.of(permit, request, session_server);
+        let is_subset = candidates.len() < self.servers.len();
+        let chosen = choose(
+            &self.servers,
+            candidates,
+            request,
+            band,
+            session_server,
+            now,
+        );
+        if chosen.is_some() || !is_subset {
             return chosen;
         }
-        choose(&self.servers, 0..self.servers.len(), ask, band, line, now)
+        choose(
+            &self.servers,
+            0..self.servers.len(),
+            request,
+            band,
+            session_server,
+            now,
+        )
     }
 
-    /// Places that can be used now.
+    /// Slots of usable servers, without those taken by other senders.
     pub(super) fn capacity(&self, now: Instant) -> f64 {
         let usable = self.servers.iter().filter(|server| server.is_usable(now));
-        let places = usable.map(|server| server.about.slots as f64 - server.others.max(0.0));
-        places.map(|places| places.max(0.0)).sum()
+        let slots = usable.map(|server| server.info.slots as f64 - server.external_load.max(0.0));
+        slots.map(|slots| slots.max(0.0)).sum()
     }
 
-    pub(super) fn crowd<'a>(&'a self, now: Instant, service: &'a str) -> Crowd<'a> {
-        let [in_time, late, past] = self.queue.bands();
+    pub(super) fn queue_stats<'a>(&'a self, now: Instant, service: &'a str) -> Crowd<'a> {
+        let [in_time, late, past] = self.queue.band_lens();
         Crowd {
             service,
             in_time,
@@ -134,48 +150,65 @@
             past,
             running: self.servers.iter().map(|server| server.in_flight).sum(),
             places: self.capacity(now),
-            per_second: self.flow.per_second(now).unwrap_or_default(),
-            programs: self.programs.len().1,
-            needs: self.programs.needs(),
+            per_second: self.grant_rate.per_second(now).unwrap_or_default(),
+            programs: self.programs.counts().1,
+            needs: self.programs.slots_per_program(),
         }
     }
 
-    /// When a request may come back that would wait in vain.
-    pub(super) fn hopeless(&self, now: Instant, band: Band, ask: &Ask) -> Option<Duration> {
-        let (flow, ahead, limit) = match band {
-            Band::OnTime => (&self.flow, self.queue.ahead(band), ask.limit()),
-            Band::Late | Band::Fills => {
-                let ahead = self.queue.ahead(band) - self.queue.ahead(Band::OnTime);
-                (&self.late, ahead, ask.held())
+    /// Retry-After of a request whose expected queue time exceeds its maximum wait; none if it may
+    /// wait.
+    pub(super) fn overload_retry_after(
+        &self,
+        now: Instant,
+        band: Band,
+        request: &Ask,
+    ) -> Option<Duration> {
+        let (rate, queued_ahead, max_wait) = match band {
+            Band::OnTime => (
+                &self.grant_rate,
+                self.queue.queued_ahead(band),
+                request.max_wait(),
+            ),
+            Band::Late | Band::Backfill => {
+                let queued_ahead =
+                    self.queue.queued_ahead(band) - self.queue.queued_ahead(Band::OnTime);
+                (&self.late_grant_rate, queued_ahead, request.max_late_wait())
             }
         };
-        let wait = Duration::from_secs_f64(flow.wait_ms(now, ahead) / 1000.0);
-        let (least, most) = COME_BACK;
-        (wait > limit).then(|| wait.clamp(least, most))
+        let wait = Duration::from_secs_f64(rate.wait_ms(now, queued_ahead) / 1000.0);
+        let (min, max) = RETRY_AFTER_BOUNDS;
+        (wait > max_wait).then(|| wait.clamp(min, max))
     }
 
-    /// A request is over, after this time at a server.
-    pub(super) fn over(&mut self, now: Instant, program: Option<u64>, took: Duration) {
+    /// Ends a request that spent `took` at a server.
+    pub(super) fn request_ended(&mut self, now: Instant, program: Option<u64>, took: Duration) {
         if let Some(program) = program {
-            self.programs.done(now, program, took);
+            self.programs.request_ended(now, program, took);
         }
     }
 
-    /// Frees what ended programs had set aside, and admits those that wait and fit now.
-    pub(super) fn sweep(&mut self, now: Instant, clock: i64) {
-        self.programs.sweep(now, clock);
+    /// Releases the slots reserved by ended or late programs, and admits queued programs that fit.
+    pub(super) fn sweep(&mut self, now: Instant, now_ms: i64) {
+        self.programs.sweep(now, now_ms);
         let capacity = self.capacity(now);
-        for permit in self.queue.first(clock, SCAN) {
-            let Some((Waiting { ask, standing }, Band::Late)) = self.queue.get(permit) else {
+        for permit in self.queue.most_urgent(now_ms, MAX_SCANNED) {
+            let Some((QueuedRequest { request, priority }, Band::Late)) = self.queue.get(permit)
+            else {
+                continue;
+            };
+            let Some(program) = request.program else {
                 continue;
             };
-            let Some(program) = ask.program else { continue };
-            if standing.admitted || !self.programs.admit(clock, program, capacity) {
+            if priority.admitted || !self.programs.try_admit(now_ms, program, capacity) {
                 continue;
             }
-            if let Some(Waiting { ask, standing }) = self.queue.remove(permit) {
-                let standing = self.programs.standing(standing.asked, program, &ask);
-                self.queue.push(clock, permit, Waiting { ask, standing });
+            if let Some(QueuedRequest { request, priority }) = self.queue.remove(permit) {
+                let priority = self
+                    .programs
+                    .priority(priority.arrival_ms, program, &request);
+                self.queue
+                    .push(now_ms, permit, QueuedRequest { request, priority });
             }
         }
     }
--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -1,9 +1,8 @@
-//! Which servers are weighed for a request where a service has thousands.
+//! Preselection of servers for a request.
 //!
-//! Load it answers: a service of thousands of servers whose requests are placed by one VM. Weighing each server for
-//! each request takes time that grows with servers times requests. A server is good for a request because of what it
-//! keeps, an open connection, its zone, or a free place: the first two are remembered here, and among a dozen servers of
-//! the zone that are drawn at random one is as good as idle.
+//! Scoring every server for every request does not scale to services with thousands of servers.
+//! Above a limit, only the servers that recently ran requests of the VM or read parts of the prompt
+//! are scored, plus a random sample of the zone and of all servers.
 
 use super::dispatch::Ask;
 use super::prefix::Part;
@@ -12,126 +11,145 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Servers of a service that are all weighed.
-const FEW: usize = 128;
-/// Servers that are drawn from the zone of a request, and from all zones.
-const DRAWN: (u64, u64) = (12, 4);
-/// Servers that are remembered of a VM.
-const OF_VM: usize = 8;
-/// Servers that are remembered of a part of a prompt.
-const OF_PART: usize = 4;
-/// Parts of prompts that are remembered.
-const PARTS: usize = 100_000;
+/// Services with at most this many servers score all of them.
+const MAX_UNSAMPLED_SERVERS: usize = 128;
+/// Sample sizes: servers of the request's zone, and of all zones.
+const SAMPLE_SIZES: (u64, u64) = (12, 4);
+const MAX_SERVERS_PER_VM: usize = 8;
+const MAX_SERVERS_PER_PART: usize = 4;
+/// Cleared when full.
+const MAX_PARTS: usize = 100_000;
 
-/// What is remembered of the servers of one service.
+/// Index of the servers of one service, by what makes them good candidates.
 #[derive(Debug, Default)]
 pub struct Candidates {
-    index: HashMap<Arc<str>, usize>,
+    index_by_id: HashMap<Arc<str>, usize>,
     by_zone: HashMap<Arc<str>, Vec<usize>>,
-    /// The servers that each VM used last.
+    /// Servers that each VM used last, the most recent at the back.
     by_vm: HashMap<u64, VecDeque<Arc<str>>>,
-    /// The servers that read each part last.
+    /// Servers that read each prompt part last, the most recent at the back.
     by_part: HashMap<u64, VecDeque<Arc<str>>>,
 }
 
 impl Candidates {
-    /// Sets the servers and their zones, in the order in which they are numbered.
+    /// Replaces the servers, given as pairs of identity and zone. Their order defines their
+    /// indices.
     pub fn configure<'a>(&mut self, servers: impl Iterator<Item = (&'a Arc<str>, &'a Arc<str>)>) {
-        self.index.clear();
+        self.index_by_id.clear();
         self.by_zone.clear();
         for (id, zone) in servers {
             self.add(id, zone);
         }
     }
 
-    /// Adds a server, which gets the next number.
+    /// Adds a server at the next index.
     pub fn add(&mut self, id: &Arc<str>, zone: &Arc<str>) {
-        let number = self.index.len();
-        self.index.insert(Arc::clone(id), number);
-        let near = self.by_zone.entry(Arc::clone(zone)).or_default();
-        near.push(number);
+        let index = self.index_by_id.len();
+        self.index_by_id.insert(Arc::clone(id), index);
+        let in_zone = self.by_zone.entry(Arc::clone(zone)).or_default();
+        in_zone.push(index);
     }
 
-    /// Takes a server out; the last one gets its number.
+    /// Removes a server. The last server takes over its index, as in [`Vec::swap_remove`].
     pub fn remove(&mut self, (id, zone): (&str, &str), (last, last_zone): (&Arc<str>, &str)) {
-        let Some(number) = self.index.remove(id) else {
+        let Some(index) = self.index_by_id.remove(id) else {
             return;
         };
-        if let Some(near) = self.by_zone.get_mut(zone) {
-            near.retain(|other| *other != number);
+        if let Some(in_zone) = self.by_zone.get_mut(zone) {
+            in_zone.retain(|other| *other != index);
         }
-        let Some(moved) = self.index.get_mut(&**last) else {
+        let Some(moved_index) = self.index_by_id.get_mut(&**last) else {
             return;
         };
-        let before = std::mem::replace(moved, number);
-        let near = self.by_zone.get_mut(last_zone).into_iter().flatten();
-        for other in near.filter(|other| **other == before) {
-            *other = number;
+        let old_index = std::mem::replace(moved_index, index);
+        let in_zone = self.by_zone.get_mut(last_zone).into_iter().flatten();
+        for other in in_zone.filter(|other| **other == old_index) {
+            *other = index;
         }
     }
 
-    /// The number of a server.
+    /// Index of a server.
     #[must_use]
     pub fn find(&self, id: &str) -> Option<usize> {
-        self.index.get(id).copied()
+        self.index_by_id.get(id).copied()
     }
 
-    /// A VM has used a server.
+    /// Records that a VM used a server.
     pub fn used(&mut self, vm: u64, server: &Arc<str>) {
-        if self.index.len() > FEW {
-            remember(self.by_vm.entry(vm).or_default(), server, OF_VM);
+        if self.index_by_id.len() > MAX_UNSAMPLED_SERVERS {
+            push_recent(
+                self.by_vm.entry(vm).or_default(),
+                server,
+                MAX_SERVERS_PER_VM,
+            );
         }
     }
 
-    /// A server reads a prompt.
+    /// Records that a server read a prompt.
     pub fn read(&mut self, prompt: &[Part], server: &Arc<str>) {
-        if self.index.len() <= FEW {
+        if self.index_by_id.len() <= MAX_UNSAMPLED_SERVERS {
             return;
         }
-        if self.by_part.len() > PARTS {
+        if self.by_part.len() > MAX_PARTS {
             self.by_part.clear();
         }
         for part in prompt {
-            remember(self.by_part.entry(part.id).or_default(), server, OF_PART);
+            push_recent(
+                self.by_part.entry(part.id).or_default(),
+                server,
+                MAX_SERVERS_PER_PART,
+            );
         }
     }
 
-    /// The servers to weigh for a request first; all where they are few.
+    /// Indices of the servers to score for a request, sorted; all servers if there are few.
+    /// `session_server` is the server of the session's previous turn.
     #[must_use]
-    pub fn of(&self, permit: Permit, ask: &Ask, line: Option<&Arc<str>>) -> Vec<usize> {
-        let all = self.index.len();
-        if all <= FEW {
-            return (0..all).collect();
+    pub fn of(
+        &self,
+        permit: Permit,
+        request: &Ask,
+        session_server: Option<&Arc<str>>,
+    ) -> Vec<usize> {
+        let count = self.index_by_id.len();
+        if count <= MAX_UNSAMPLED_SERVERS {
+            return (0..count).collect();
         }
-        let of_vm = self.by_vm.get(&ask.vm).into_iter().flatten();
-        let parts = ask
+        let vm_servers = self.by_vm.get(&request.vm).into_iter().flatten();
+        let part_servers = request
             .prompt
             .iter()
             .filter_map(|part| self.by_part.get(&part.id));
-        let known = of_vm.chain(parts.flatten()).chain(line);
-        let mut chosen: HashSet<usize> = known.filter_map(|id| self.find(id)).collect();
-        // The same for the same request, so that a replay repeats.
-        let draw = |number: u64, of: usize| {
-            let seed = permit.0.wrapping_mul(31).wrapping_add(number);
-            let drawn = xxh3_64_with_seed(&ask.vm.to_le_bytes(), seed) % of as u64;
-            usize::try_from(drawn).unwrap_or(0)
+        let recent = vm_servers
+            .chain(part_servers.flatten())
+            .chain(session_server);
+        let mut selected: HashSet<usize> = recent.filter_map(|id| self.find(id)).collect();
+        // Seeded by the request, so that a replay repeats.
+        let sample = |salt: u64, count: usize| {
+            let seed = permit.0.wrapping_mul(31).wrapping_add(salt);
+            let index = xxh3_64_with_seed(&request.vm.to_le_bytes(), seed) % count as u64;
+            usize::try_from(index).unwrap_or(0)
         };
-        if let Some(near) = self.by_zone.get(&ask.zone).filter(|near| !near.is_empty()) {
-            chosen.extend((0..DRAWN.0).map(|number| near[draw(number, near.len())]));
+        if let Some(in_zone) = self
+            .by_zone
+            .get(&request.zone)
+            .filter(|in_zone| !in_zone.is_empty())
+        {
+            selected.extend((0..SAMPLE_SIZES.0).map(|salt| in_zone[sample(salt, in_zone.len())]));
         }
-        chosen.extend((0..DRAWN.1).map(|number| draw(DRAWN.0 + number, all)));
-        let mut chosen: Vec<usize> = chosen.into_iter().collect();
-        chosen.sort_unstable();
-        chosen
+        selected.extend((0..SAMPLE_SIZES.1).map(|salt| sample(SAMPLE_SIZES.0 + salt, count)));
+        let mut selected: Vec<usize> = selected.into_iter().collect();
+        selected.sort_unstable();
+        selected
     }
 }
 
-fn remember(servers: &mut VecDeque<Arc<str>>, server: &Arc<str>, most: usize) {
-    if let Some(at) = servers.iter().position(|known| known == server) {
-        servers.remove(at);
+fn push_recent(servers: &mut VecDeque<Arc<str>>, server: &Arc<str>, max: usize) {
+    if let Some(position) = servers.iter().position(|other| other == server) {
+        servers.remove(position);
     }
     servers.push_back(Arc::clone(server));
-    if servers.len() > most {
+    if servers.len() > max {
         servers.pop_front();
     }
 }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,14 +1,13 @@
-//! Which request goes to which backend server, and which one waits.
+//! Places forwarded requests on backend servers and queues those that have to wait.
 //!
-//! Load it answers: more requests than the servers of a service work on at a time. Servers admit in
-//! the order of arrival and know no ranks, so what is sent early can't be reordered any more. A
-//! request therefore waits here while every server works on as many requests as fit its window,
-//! and the first by its standing goes when a server is done.
+//! Servers run requests in order of arrival, without priorities. The dispatcher therefore sends a
+//! server only as many requests as fit its concurrency window, keeps the others in a priority
+//! queue, and grants the first of them when a slot frees up.
 
-use super::backlog::{Pool, SCAN, Waiting};
+use super::backlog::{MAX_SCANNED, QueuedRequest, ServicePool};
 use super::prefix::Part;
-use super::queue::{Band, Order};
-use super::window::{learn, usual_errors};
+use super::queue::{Band, Prioritized};
+use super::window::{mean_error_rate, record_latency};
 use crate::id::Permit;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
@@ -16,258 +15,267 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Lines of turns whose server is remembered.
-const LINES: usize = 50_000;
-/// Time between two looks at programs that have ended.
-const SWEEP: Duration = Duration::from_millis(200);
-/// When a caller may come back that was given up: about when a quarter of the programs that run now
-/// have ended.
+/// Cleared when full.
+const MAX_SESSIONS: usize = 50_000;
+const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
+/// Retry-After of a request that was dropped from the queue by [`Dispatcher::tick`].
 pub const GIVEN_UP: Duration = Duration::from_millis(900);
-/// How long a request of a program that can't end in time waits for a place that others leave. It
-/// is a quarter of the targets of the shorter programs: whoever waits longer had better come back.
-const HELD: Duration = Duration::from_millis(700);
-/// The part of its own time that such a request waits at the most.
-const HELD_PART: f64 = 0.35;
+/// Longest queue time of a request whose program is late or was not admitted. Short, so that its
+/// caller can retry in time.
+const MAX_LATE_WAIT: Duration = Duration::from_millis(700);
+/// The same limit as a fraction of the request's own maximum wait.
+const MAX_LATE_WAIT_SHARE: f64 = 0.35;
 
-/// A backend server as the dispatcher has to know it.
+/// A backend server, as registered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Description {
-    /// Its identity.
+    /// Identity of this run of the server; changes when it restarts.
     pub id: Arc<str>,
-    /// Its service.
+    /// Service that it serves.
     pub service: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone that it runs in.
     pub zone: Arc<str>,
-    /// Requests that it works on at a time.
+    /// Requests that it runs concurrently.
     pub slots: usize,
-    /// Tokens of prompts that it keeps; zero where it keeps none, or does not say.
+    /// Capacity of its prefix cache in tokens; 0 if it has none or it is unknown.
     pub memory_tokens: u64,
-    /// Whether it must get nothing new.
+    /// Whether it is draining and must get no new requests.
     pub leaving: bool,
 }
 
-/// A request that asks for a server.
+/// A request for a slot on a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ask {
-    /// The service.
+    /// Service that has to run it.
     pub service: Arc<str>,
-    /// The availability zone that it comes from.
+    /// Availability zone of the VM that sends it.
     pub zone: Arc<str>,
-    /// The VM that sends it, by a hash.
+    /// Hash that identifies the VM that sends it.
     pub vm: u64,
-    /// The rank of its route; 0 goes first.
+    /// Priority of its route; 0 is the most urgent.
     pub rank: u8,
-    /// The program that it belongs to, by a hash.
+    /// Hash of the program that it belongs to.
     pub program: Option<u64>,
-    /// Turns of the program so far, this one included; zero where that is not known.
+    /// Turns of the program so far, including this one; 0 if unknown.
     pub turns: u32,
-    /// Milliseconds until its program should be finished; below zero when it is late.
+    /// Milliseconds until the deadline of its program; negative if the deadline has passed.
     pub left_ms: i64,
-    /// Milliseconds for which it may wait.
+    /// Maximum time in the queue, in milliseconds.
     pub limit_ms: u64,
-    /// The line of turns that it belongs to.
+    /// Hash of its session, a series of turns whose prompts extend each other.
     pub line: Option<u64>,
-    /// The parts of its prompt.
+    /// Parts of its prompt in order, for prefix caching; empty if unknown.
     pub prompt: Vec<Part>,
-    /// Servers that have failed it.
+    /// Servers on which it has already failed.
     pub avoid: Vec<Arc<str>>,
 }
 
 impl Ask {
-    pub(super) fn limit(&self) -> Duration {
+    pub(super) fn max_wait(&self) -> Duration {
         Duration::from_millis(self.limit_ms)
     }
 
-    /// How long it waits where its program can't end in time.
-    pub(super) fn held(&self) -> Duration {
-        HELD.min(self.limit().mul_f64(HELD_PART))
+    /// Maximum queue time if its program is late or was not admitted.
+    pub(super) fn max_late_wait(&self) -> Duration {
+        MAX_LATE_WAIT.min(self.max_wait().mul_f64(MAX_LATE_WAIT_SHARE))
     }
 }
 
-/// What a server says of its load, when it begins an answer.
+/// Load that a server reports in a response header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Requests that run.
+    /// Requests that it runs.
     pub running: usize,
-    /// Requests that wait there.
+    /// Requests that it queues.
     pub waiting: usize,
 }
 
-/// How a request ended at its server.
+/// Result of a request at its server.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub enum Outcome {
-    /// Answered; how its time compares with what is usual.
+    /// The server completed the request.
     Done {
-        /// The time that it took.
+        /// Time spent at the server.
         took: Duration,
-        /// The size of its work, in any unit that is the same for all requests of the service.
+        /// Size of the request, in a unit that is the same for all requests of the service.
         work: f64,
-        /// What the server said of its load.
+        /// Load that the server reported, if any.
         load: Option<Load>,
     },
-    /// The server answered with an error of its own.
+    /// The server answered with a server error.
     Error,
-    /// The server turned it away, as it is full.
+    /// The server rejected it because it is full.
     Full,
-    /// The server failed it or did not answer.
+    /// The connection failed or the server did not answer.
     Failed,
-    /// Nothing is known: the caller left, or it was not sent.
+    /// No result: the caller disconnected, or the request was not sent.
     Void,
 }
 
-/// A request that runs at a server.
+/// A request that was granted and has not ended.
 #[derive(Debug)]
-struct Flight {
+struct InFlight {
     service: Arc<str>,
     server: Arc<str>,
     vm: u64,
-    line: Option<u64>,
+    session: Option<u64>,
     program: Option<u64>,
-    since: Instant,
-    /// Requests from here that ran there at its start, this one included.
-    together: usize,
+    started_at: Instant,
+    /// Requests of this dispatcher on the server when this one started, including itself.
+    running_at_start: usize,
 }
 
-/// Whether a request may go.
+/// Result of [`Dispatcher::ask`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may go to this server now.
+    /// The request may be sent to this server.
     Granted(Arc<str>),
-    /// It waits; [`Dispatcher::done`] grants it later.
+    /// The request is queued; [`Dispatcher::grant`] or [`Dispatcher::tick`] grants it later.
     Waiting,
-    /// The service has no server.
+    /// The service has no server that takes new requests.
     NoServer,
-    /// It can't be served in the time that it may wait; it may come back after this time.
+    /// No slot is expected to free up within its maximum wait; the caller may retry after this
+    /// time.
     Refused(Duration),
 }
 
-/// What has changed with time.
+/// Result of [`Dispatcher::tick`].
 #[derive(Debug, Default)]
 pub struct Ticked {
-    /// Requests that may go, and to which server.
+    /// Granted requests and their servers.
     pub granted: Vec<(Permit, Arc<str>)>,
-    /// Requests that are given up; they have not run.
+    /// Requests dropped from the queue. They were not sent.
     pub refused: Vec<Permit>,
 }
 
-/// A service for whose servers requests wait.
+/// Queue and load of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Crowd<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a str,
-    /// Requests of programs that were admitted.
+    /// Queued requests of admitted programs that have not missed their deadline.
     pub in_time: usize,
-    /// Requests of programs that may still end within twice their time.
+    /// Queued requests of other programs that can finish within twice their target time.
     pub late: usize,
-    /// Requests of programs past that.
+    /// Queued requests of programs past twice their target time.
     pub past: usize,
-    /// Places that are taken by requests from here.
+    /// Slots in use by requests of this dispatcher.
     pub running: usize,
-    /// Places that can be used now.
+    /// Slots of usable servers, without those taken by other senders.
     pub places: f64,
-    /// Requests granted in a second.
+    /// Grants per second; 0 if there were too few to measure.
     pub per_second: f64,
-    /// Programs that were admitted.
+    /// Admitted programs.
     pub programs: usize,
-    /// Places that a program needs at a time, by rank.
+    /// Average slots in use by one program, by rank.
     pub needs: &'a BTreeMap<u8, f64>,
 }
 
-/// The windows of all servers.
+/// Queues and server windows of all services.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
-    pools: HashMap<Arc<str>, Pool>,
-    flights: HashMap<Permit, Flight>,
-    waiting: HashMap<Permit, Arc<str>>,
-    lines: HashMap<u64, Arc<str>>,
+    pools: HashMap<Arc<str>, ServicePool>,
+    in_flight: HashMap<Permit, InFlight>,
+    /// Service of each queued request.
+    queued: HashMap<Permit, Arc<str>>,
+    /// Server that ran the latest turn of each session.
+    session_servers: HashMap<u64, Arc<str>>,
     epoch: Option<Instant>,
-    swept: Option<Instant>,
+    last_sweep: Option<Instant>,
 }
 
 impl Dispatcher {
-    /// Sets the servers; what runs on one that is gone is left to end.
-    pub fn configure(&mut self, descriptions: impl IntoIterator<Item = Description>) {
-        let mut wanted: HashMap<Arc<str>, HashMap<Arc<str>, Description>> = HashMap::new();
-        for about in descriptions {
-            let service = wanted.entry(Arc::clone(&about.service)).or_default();
-            service.insert(Arc::clone(&about.id), about);
+    /// Replaces the set of servers. In-flight requests of removed servers continue.
+    pub fn configure(&mut self, servers: impl IntoIterator<Item = Description>) {
+        let mut by_service: HashMap<Arc<str>, HashMap<Arc<str>, Description>> = HashMap::new();
+        for server in servers {
+            let service = by_service.entry(Arc::clone(&server.service)).or_default();
+            service.insert(Arc::clone(&server.id), server);
         }
-        for service in wanted.keys() {
+        for service in by_service.keys() {
             if !self.pools.contains_key(service) {
-                self.pools.insert(Arc::clone(service), Pool::default());
+                self.pools
+                    .insert(Arc::clone(service), ServicePool::default());
             }
         }
         for (service, pool) in &mut self.pools {
-            pool.configure(wanted.remove(service).unwrap_or_default());
+            pool.set_servers(by_service.remove(service).unwrap_or_default());
         }
     }
 
-    /// Sets one server.
-    pub fn set(&mut self, about: Description) {
-        if !self.pools.contains_key(&about.service) {
+    /// Adds or updates a server.
+    pub fn set(&mut self, info: Description) {
+        if !self.pools.contains_key(&info.service) {
             self.pools
-                .insert(Arc::clone(&about.service), Pool::default());
+                .insert(Arc::clone(&info.service), ServicePool::default());
         }
-        if let Some(pool) = self.pools.get_mut(&about.service) {
-            pool.set(about);
+        if let Some(pool) = self.pools.get_mut(&info.service) {
+            pool.update_server(info);
         }
     }
 
-    /// Takes one server of a service out; what runs on it is left to end.
+    /// Removes a server. Its in-flight requests continue.
     pub fn remove(&mut self, service: &str, id: &str) {
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.remove(id);
+            pool.remove_server(id);
         }
     }
 
-    /// Takes in a request.
-    pub fn ask(&mut self, now: Instant, permit: Permit, ask: Ask) -> Verdict {
-        let clock = self.clock(now);
-        let Some(pool) = self.pools.get_mut(&ask.service) else {
+    /// Grants, queues or refuses a request.
+    pub fn ask(&mut self, now: Instant, permit: Permit, request: Ask) -> Verdict {
+        let now_ms = self.now_ms(now);
+        let Some(pool) = self.pools.get_mut(&request.service) else {
             return Verdict::NoServer;
         };
-        if pool.servers.iter().all(|server| server.about.leaving) {
+        if pool.servers.iter().all(|server| server.info.leaving) {
             return Verdict::NoServer;
         }
         let capacity = pool.capacity(now);
-        let standing = pool.programs.arrive(now, clock, &ask, capacity);
-        let (band, _) = standing.band(clock);
-        let ahead = pool.queue.ahead(band);
-        let line = ask.line.and_then(|line| self.lines.get(&line));
-        if ahead == 0
-            && let Some(index) = pool.choose(now, permit, &ask, band, line)
+        let priority = pool
+            .programs
+            .request_arrived(now, now_ms, &request, capacity);
+        let (band, _) = priority.band(now_ms);
+        let queued_ahead = pool.queue.queued_ahead(band);
+        let session_server = request
+            .line
+            .and_then(|session| self.session_servers.get(&session));
+        if queued_ahead == 0
+            && let Some(index) = pool.choose(now, permit, &request, band, session_server)
         {
-            return Verdict::Granted(self.start(now, permit, &ask, index));
+            return Verdict::Granted(self.start(now, permit, &request, index));
         }
-        if let Some(back) = pool.hopeless(now, band, &ask) {
-            pool.over(now, ask.program, Duration::ZERO);
-            return Verdict::Refused(back);
+        if let Some(retry_after) = pool.overload_retry_after(now, band, &request) {
+            pool.request_ended(now, request.program, Duration::ZERO);
+            return Verdict::Refused(retry_after);
         }
-        self.waiting.insert(permit, Arc::clone(&ask.service));
-        pool.queue.push(clock, permit, Waiting { ask, standing });
+        self.queued.insert(permit, Arc::clone(&request.service));
+        pool.queue
+            .push(now_ms, permit, QueuedRequest { request, priority });
         Verdict::Waiting
     }
 
-    /// Gives the requests that may go now, and those that are given up: a caller that waits long and
-    /// is not served in the end has waited for nothing.
+    /// Grants queued requests that fit, and drops late ones that have exceeded their maximum wait.
     pub fn tick(&mut self, now: Instant) -> Ticked {
-        let clock = self.clock(now);
-        if self.swept.is_none_or(|swept| swept + SWEEP <= now) {
-            self.swept = Some(now);
+        let now_ms = self.now_ms(now);
+        if self.last_sweep.is_none_or(|at| at + SWEEP_INTERVAL <= now) {
+            self.last_sweep = Some(now);
             for pool in self.pools.values_mut() {
-                pool.sweep(now, clock);
+                pool.sweep(now, now_ms);
             }
         }
         let granted = self.grant(now);
         let mut refused = Vec::new();
         for pool in self.pools.values_mut() {
-            for permit in pool.queue.behind(|waiting| waiting.is_held(clock)) {
-                if let Some(waiting) = pool.queue.remove(permit) {
-                    pool.over(now, waiting.ask.program, Duration::ZERO);
-                    self.waiting.remove(&permit);
+            for permit in pool
+                .queue
+                .late_matching(|queued| queued.late_wait_expired(now_ms))
+            {
+                if let Some(queued) = pool.queue.remove(permit) {
+                    pool.request_ended(now, queued.request.program, Duration::ZERO);
+                    self.queued.remove(&permit);
                     refused.push(permit);
                 }
             }
@@ -275,7 +283,7 @@
         Ticked { granted, refused }
     }
 
-    /// Gives the requests that may go now.
+    /// Grants queued requests that fit.
     pub fn grant(&mut self, now: Instant) -> Vec<(Permit, Arc<str>)> {
         let services: Vec<_> = self
             .pools
@@ -285,170 +293,174 @@
             .collect();
         let mut granted = Vec::new();
         for service in services {
-            self.grant_of(now, &service, &mut granted);
+            self.grant_service(now, &service, &mut granted);
         }
         granted
     }
 
-    fn grant_of(
+    fn grant_service(
         &mut self,
         now: Instant,
         service: &Arc<str>,
         granted: &mut Vec<(Permit, Arc<str>)>,
     ) {
-        let clock = self.clock(now);
+        let now_ms = self.now_ms(now);
         let Some(pool) = self.pools.get_mut(service) else {
             return;
         };
-        let mut full = None;
-        for permit in pool.queue.first(clock, SCAN) {
+        let mut full_band = None;
+        for permit in pool.queue.most_urgent(now_ms, MAX_SCANNED) {
             let Some(pool) = self.pools.get_mut(service) else {
                 return;
             };
-            let Some((waiting, band)) = pool.queue.get(permit) else {
+            let Some((queued, band)) = pool.queue.get(permit) else {
                 continue;
             };
-            if full == Some(band) {
+            if full_band == Some(band) {
                 continue;
             }
-            let line = waiting.ask.line.and_then(|line| self.lines.get(&line));
-            let Some(index) = pool.choose(now, permit, &waiting.ask, band, line) else {
+            let session_server = queued
+                .request
+                .line
+                .and_then(|session| self.session_servers.get(&session));
+            let Some(index) = pool.choose(now, permit, &queued.request, band, session_server)
+            else {
                 if band == Band::OnTime {
                     return;
                 }
-                // Those behind it that were admitted may still find room.
-                full = Some(band);
+                // Requests of other bands may have more room.
+                full_band = Some(band);
                 continue;
             };
-            let Some(waiting) = pool.queue.remove(permit) else {
+            let Some(queued) = pool.queue.remove(permit) else {
                 continue;
             };
-            pool.queue.granted();
+            pool.queue.record_grant();
             if band != Band::OnTime {
-                pool.late.count(now);
+                pool.late_grant_rate.record(now);
             }
-            self.waiting.remove(&permit);
-            granted.push((permit, self.start(now, permit, &waiting.ask, index)));
+            self.queued.remove(&permit);
+            granted.push((permit, self.start(now, permit, &queued.request, index)));
         }
     }
 
-    fn start(&mut self, now: Instant, permit: Permit, ask: &Ask, index: usize) -> Arc<str> {
+    fn start(&mut self, now: Instant, permit: Permit, request: &Ask, index: usize) -> Arc<str> {
         let pool = self
             .pools
-            .get_mut(&ask.service)
+            .get_mut(&request.service)
             .expect("the pool was just found");
-        pool.flow.count(now);
-        if let Some(program) = ask.program {
-            pool.programs.granted(program);
+        pool.grant_rate.record(now);
+        if let Some(program) = request.program {
+            pool.programs.request_granted(program);
         }
         let server = &mut pool.servers[index];
         server.in_flight += 1;
         server
             .prefixes
-            .read(&ask.prompt, server.about.memory_tokens);
-        let id = Arc::clone(&server.about.id);
-        pool.candidates.read(&ask.prompt, &id);
-        let flight = Flight {
-            service: Arc::clone(&ask.service),
+            .read(&request.prompt, server.info.memory_tokens);
+        let id = Arc::clone(&server.info.id);
+        pool.candidates.read(&request.prompt, &id);
+        let request = InFlight {
+            service: Arc::clone(&request.service),
             server: Arc::clone(&id),
-            vm: ask.vm,
-            line: ask.line,
-            program: ask.program,
-            since: now,
-            together: server.in_flight,
+            vm: request.vm,
+            session: request.line,
+            program: request.program,
+            started_at: now,
+            running_at_start: server.in_flight,
         };
-        self.flights.insert(permit, flight);
+        self.in_flight.insert(permit, request);
         id
     }
 
-    /// A request is over, whether it waited or ran.
+    /// Ends a request, whether it was queued or running, and records its outcome.
     pub fn done(&mut self, now: Instant, permit: Permit, outcome: Outcome) {
-        if let Some(service) = self.waiting.remove(&permit)
+        if let Some(service) = self.queued.remove(&permit)
             && let Some(pool) = self.pools.get_mut(&service)
         {
-            let waited = pool.queue.remove(permit);
-            let program = waited.and_then(|waiting| waiting.ask.program);
-            pool.over(now, program, Duration::ZERO);
+            let removed = pool.queue.remove(permit);
+            let program = removed.and_then(|queued| queued.request.program);
+            pool.request_ended(now, program, Duration::ZERO);
         }
-        let Some(flight) = self.flights.remove(&permit) else {
+        let Some(request) = self.in_flight.remove(&permit) else {
             return;
         };
-        let Some(pool) = self.pools.get_mut(&flight.service) else {
+        let Some(pool) = self.pools.get_mut(&request.service) else {
             return;
         };
-        let took = now.saturating_duration_since(flight.since);
-        pool.over(now, flight.program, took);
-        let Some(index) = pool.candidates.find(&flight.server) else {
+        let took = now.saturating_duration_since(request.started_at);
+        pool.request_ended(now, request.program, took);
+        let Some(index) = pool.candidates.find(&request.server) else {
             return;
         };
-        let usual_errors = (outcome == Outcome::Error).then(|| usual_errors(&pool.servers));
+        let mean_error_rate = (outcome == Outcome::Error).then(|| mean_error_rate(&pool.servers));
         let server = &mut pool.servers[index];
         server.in_flight = server.in_flight.saturating_sub(1);
         match outcome {
             Outcome::Done { took, work, load } => {
-                server.succeeded();
-                server.used_by(now, flight.vm);
-                pool.candidates.used(flight.vm, &flight.server);
+                server.record_success();
+                server.record_connection(now, request.vm);
+                pool.candidates.used(request.vm, &request.server);
                 if let Some(load) = load {
-                    server.report(load, flight.together);
+                    server.record_load(load, request.running_at_start);
                 }
-                learn(server, &mut pool.pace, took, work);
-                if let Some(line) = flight.line {
-                    if self.lines.len() >= LINES {
-                        self.lines.clear();
+                record_latency(server, &mut pool.mean_ms_per_work, took, work);
+                if let Some(session) = request.session {
+                    if self.session_servers.len() >= MAX_SESSIONS {
+                        self.session_servers.clear();
                     }
-                    self.lines.insert(line, flight.server);
+                    self.session_servers.insert(session, request.server);
                 }
             }
-            Outcome::Error => server.erred(now, usual_errors.unwrap_or_default()),
-            Outcome::Full | Outcome::Failed => server.rest(now),
+            Outcome::Error => server.record_error(now, mean_error_rate.unwrap_or_default()),
+            Outcome::Full | Outcome::Failed => server.eject(now),
             Outcome::Void => {}
         }
     }
 
-    /// The load of the services for which requests wait.
+    /// Load of the services that have queued requests.
     pub fn loads(&self, now: Instant) -> impl Iterator<Item = Crowd<'_>> {
         let pools = self.pools.iter();
-        let crowded = pools.filter(|(_, pool)| !pool.queue.is_empty());
-        crowded.map(move |(service, pool)| pool.crowd(now, service))
+        let with_queue = pools.filter(|(_, pool)| !pool.queue.is_empty());
+        with_queue.map(move |(service, pool)| pool.queue_stats(now, service))
     }
 
-    /// Whether requests wait.
+    /// Whether any request is queued.
     #[must_use]
     pub fn is_waiting(&self) -> bool {
-        !self.waiting.is_empty()
+        !self.queued.is_empty()
     }
 
-    /// Milliseconds since the first request.
-    fn clock(&mut self, now: Instant) -> i64 {
+    /// Milliseconds since the first call.
+    fn now_ms(&mut self, now: Instant) -> i64 {
         let epoch = *self.epoch.get_or_insert(now);
-        let since = now.saturating_duration_since(epoch).as_millis();
-        i64::try_from(since).unwrap_or(i64::MAX)
+        let elapsed_ms = now.saturating_duration_since(epoch).as_millis();
+        i64::try_from(elapsed_ms).unwrap_or(i64::MAX)
     }
 
-    /// Requests that wait and requests that run at each server, by service.
+    /// Queue length and in-flight requests per server, by service, as JSON.
     #[must_use]
     pub fn state(&self) -> serde_json::Value {
         let pools = self.pools.iter().map(|(service, pool)| {
             let servers = pool.servers.iter().map(|server| {
-                let row = serde_json::json!({
+                let state = serde_json::json!({
                     "in_flight": server.in_flight,
-                    "others": server.others,
-                    "slots": server.about.slots,
-                    "slowness": server.ratio,
-                    "failures": server.failures,
+                    "others": server.external_load,
+                    "slots": server.info.slots,
+                    "slowness": server.slowdown,
+                    "failures": server.consecutive_failures,
                 });
-                (server.about.id.to_string(), row)
+                (server.info.id.to_string(), state)
             });
             let servers: serde_json::Map<_, _> = servers.collect();
-            let (known, admitted) = pool.programs.len();
-            let row = serde_json::json!({
+            let (known_programs, admitted) = pool.programs.counts();
+            let state = serde_json::json!({
                 "waiting": pool.queue.len(),
-                "programs": known,
+                "programs": known_programs,
                 "programs_admitted": admitted,
                 "servers": servers,
             });
-            (service.to_string(), row)
+            (service.to_string(), state)
         });
         serde_json::Value::Object(pools.collect())
     }
--- a/src/policy/pool.rs
+++ b/src/policy/pool.rs
@@ -1,28 +1,28 @@
-//! The queue before the servers of one pool, and the window of each server.
+//! The call queue of a pool, and the choice of a server for each call.
 
 use super::ask::{Action, Ask, Outcome};
 use super::pace::{Pace, Rates};
 use super::queue::{Band, Queue};
 use super::server::Server;
-use super::slack::Waiting;
+use super::slack::QueuedCall;
 use crate::code::{Code, Failure};
-use crate::id::{Permit, Program, Server as Name};
+use crate::id::{Permit, Program, Server as ServerName};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Calls that may wait for one pool.
-const QUEUE: usize = 100_000;
-/// Calls that are looked at for each chance to grant.
-const SCAN: usize = 32;
-/// Servers that are weighed for a call beside those that may hold its cache.
-const CHOICES: usize = 4;
-/// Cost of a server that has failed the call already; it is better than none.
-const AVOID_MS: f64 = 1e7;
-/// Programs whose place is remembered.
-const PLACES: usize = 200_000;
+/// Calls beyond this are refused.
+const MAX_QUEUED: usize = 100_000;
+/// Queued calls considered per attempt to grant.
+const MAX_SCANNED: usize = 32;
+/// Servers considered for a call besides those that may have cached its program.
+const MAX_OTHER_CANDIDATES: usize = 4;
+/// Cost of a server on which the call has failed. Such a server is used only if no other has room.
+const AVOID_COST_MS: f64 = 1e7;
+/// Programs whose servers are remembered; cleared when full.
+const MAX_REMEMBERED_PROGRAMS: usize = 200_000;
 
-/// The servers of one pool and the calls that wait for them.
+/// The servers and the call queue of one pool.
 ///
 /// ```
 /// use tokio::time::Instant;
@@ -48,171 +48,185 @@
 #[derive(Debug, Default)]
 pub struct Pool {
     servers: Vec<Server>,
-    index: HashMap<Name, usize>,
-    /// Servers that have room, by the time that a token would take.
-    open: BTreeSet<(u64, usize)>,
-    keys: Vec<Option<u64>>,
-    resting: BTreeSet<(Instant, usize)>,
+    index_by_name: HashMap<ServerName, usize>,
+    /// Servers with room, fastest first, by microseconds per token.
+    available: BTreeSet<(u64, usize)>,
+    /// Key of each server in `available`; none without room.
+    availability_keys: Vec<Option<u64>>,
+    /// Ejected servers by the end of their ejection.
+    ejected: BTreeSet<(Instant, usize)>,
+    /// Server of each running call.
     running: HashMap<Permit, usize>,
-    places: HashMap<Program, Vec<usize>>,
-    queue: Queue<Waiting>,
+    /// Servers that may have cached each program.
+    servers_of_program: HashMap<Program, Vec<usize>>,
+    queue: Queue<QueuedCall>,
     pace: Pace,
     epoch: Option<Instant>,
-    exports: bool,
+    export_enabled: bool,
 }
 
 impl Pool {
-    /// Lets the pool move cache between its servers, which must all export and import it.
+    /// Enables moving KV cache between servers, all of which must support export and import.
     #[must_use]
     pub fn with_exports(mut self) -> Self {
-        self.exports = true;
+        self.export_enabled = true;
         self
     }
 
-    /// Sets the servers; calls that run on one that is gone are left to end.
-    pub fn configure(&mut self, names: &[Name]) {
+    /// Replaces the set of servers. In-flight calls of removed servers continue.
+    pub fn configure(&mut self, names: &[ServerName]) {
         for name in names {
-            if !self.index.contains_key(name) {
-                self.index.insert(name.clone(), self.servers.len());
+            if !self.index_by_name.contains_key(name) {
+                self.index_by_name.insert(name.clone(), self.servers.len());
                 self.servers.push(Server::new(name.clone()));
-                self.keys.push(None);
+                self.availability_keys.push(None);
             }
         }
-        let staying: BTreeSet<&Name> = names.iter().collect();
+        let active: BTreeSet<&ServerName> = names.iter().collect();
         for index in 0..self.servers.len() {
-            self.servers[index].leaving = !staying.contains(&self.servers[index].name);
-            self.refresh(index);
+            self.servers[index].draining = !active.contains(&self.servers[index].name);
+            self.update_availability(index);
         }
     }
 
-    /// Notes that a server is leaving: it gets nothing new.
-    pub fn leave(&mut self, server: &Name) {
-        if let Some(&index) = self.index.get(server) {
-            self.servers[index].leaving = true;
-            self.refresh(index);
+    /// Marks a server as draining: it gets no new calls.
+    pub fn leave(&mut self, server: &ServerName) {
+        if let Some(&index) = self.index_by_name.get(server) {
+            self.servers[index].draining = true;
+            self.update_availability(index);
         }
     }
 
-    /// Takes in a call.
-    pub fn ask(&mut self, now: Instant, permit: Permit, ask: Ask) -> Vec<Action> {
-        if self.queue.len() >= QUEUE {
-            let failure = Failure::refused(Code::Overloaded, "too many calls wait")
+    /// Queues a call and grants what fits.
+    pub fn ask(&mut self, now: Instant, permit: Permit, request: Ask) -> Vec<Action> {
+        if self.queue.len() >= MAX_QUEUED {
+            let failure = Failure::refused(Code::Overloaded, "too many calls are queued")
                 .retry_after(Duration::from_secs(1));
             return vec![Action::Refuse(permit, failure)];
         }
-        if self.servers.iter().all(|server| server.leaving) {
+        if self.servers.iter().all(|server| server.draining) {
             let failure = Failure::refused(Code::NoServer, "the pool has no server")
                 .retry_after(Duration::from_secs(1));
             return vec![Action::Refuse(permit, failure)];
         }
-        let asked = self.clock(now);
-        // A call that waits long holds cache as idle as that of a paused program.
-        let until = asked.saturating_add(ask.slack_ms.max(0));
-        for &place in self.places.get(&ask.program).into_iter().flatten() {
-            self.servers[place].cache.pause(ask.program, until);
+        let arrival_ms = self.now_ms(now);
+        // While the call is queued, the cache of its program is as idle as during a pause.
+        let resume_ms = arrival_ms.saturating_add(request.slack_ms.max(0));
+        for &index in self
+            .servers_of_program
+            .get(&request.program)
+            .into_iter()
+            .flatten()
+        {
+            self.servers[index].cache.pause(request.program, resume_ms);
         }
-        let waiting = Waiting {
-            start_by: asked.saturating_add(ask.slack_ms),
-            asked,
-            ask,
+        let call = QueuedCall {
+            latest_start_ms: arrival_ms.saturating_add(request.slack_ms),
+            arrival_ms,
+            request,
         };
-        self.queue.push(asked, permit, waiting);
+        self.queue.push(arrival_ms, permit, call);
         self.grant(now)
     }
 
-    /// Takes a call out, whether it waits or runs.
+    /// Ends a call, whether it was queued or running, and grants what fits. Without an outcome
+    /// nothing is learned.
     pub fn done(&mut self, now: Instant, permit: Permit, outcome: Option<&Outcome>) -> Vec<Action> {
-        let max = self
+        let queued = self
             .queue
             .remove(permit)
-            .map(|waiting| waiting.ask.max_tokens);
+            .map(|call| call.request.max_tokens);
         let Some(index) = self.running.remove(&permit) else {
-            return max.map_or_else(Vec::new, |_| self.grant(now));
+            return queued.map_or_else(Vec::new, |_| self.grant(now));
         };
         let server = &mut self.servers[index];
         if let Some(program) = server.end(now, permit, outcome, &mut self.pace) {
-            self.place_again(program, index, outcome);
+            self.record_placement(program, index, outcome);
         }
-        if let Some(until) = self.servers[index].rests_until {
-            self.resting.insert((until, index));
+        if let Some(until) = self.servers[index].ejected_until {
+            self.ejected.insert((until, index));
         }
-        self.refresh(index);
+        self.update_availability(index);
         self.grant(now)
     }
 
-    /// The newest call of a program ran here: what other servers hold is behind.
-    fn place_again(&mut self, program: Program, index: usize, outcome: Option<&Outcome>) {
-        if outcome.is_none_or(|end| end.failed) {
+    /// Remembers that the latest call of the program ran on this server.
+    fn record_placement(&mut self, program: Program, index: usize, outcome: Option<&Outcome>) {
+        if outcome.is_none_or(|result| result.failed) {
             return;
         }
-        if self.places.len() >= PLACES {
-            self.places.clear();
+        if self.servers_of_program.len() >= MAX_REMEMBERED_PROGRAMS {
+            self.servers_of_program.clear();
         }
-        let places = self.places.entry(program).or_default();
-        if !places.contains(&index) {
-            places.push(index);
+        let servers = self.servers_of_program.entry(program).or_default();
+        if !servers.contains(&index) {
+            servers.push(index);
         }
     }
 
-    /// A program has ended: nothing is held for it any more.
+    /// Forgets a program that has ended.
     pub fn ended(&mut self, program: Program) {
-        for place in self.places.remove(&program).unwrap_or_default() {
-            self.servers[place].cache.forget(program);
+        for index in self.servers_of_program.remove(&program).unwrap_or_default() {
+            self.servers[index].cache.remove(program);
         }
     }
 
-    /// A cache event: the server has dropped what it held for a program.
-    pub fn dropped(&mut self, server: &Name, program: Program) {
-        if let Some(&index) = self.index.get(server) {
-            self.servers[index].cache.dropped(program);
+    /// Handles an eviction event: the server has dropped the cache of the program.
+    pub fn dropped(&mut self, server: &ServerName, program: Program) {
+        if let Some(&index) = self.index_by_name.get(server) {
+            self.servers[index].cache.record_eviction(program);
         }
     }
 
-    /// A program pauses for about `pause`: its cache, or that of one that pauses longer, may
-    /// have to move out.
+    /// Notes that a program pauses for about `pause`. Exports idle cache from its servers if they
+    /// are nearly full.
     pub fn pause(&mut self, now: Instant, program: Program, pause: Duration) -> Vec<Action> {
-        let until = i64::try_from(pause.as_millis()).unwrap_or(i64::MAX);
-        let until = self.clock(now).saturating_add(until);
-        let places = self.places.get(&program).cloned().unwrap_or_default();
+        let resume_ms = i64::try_from(pause.as_millis()).unwrap_or(i64::MAX);
+        let resume_ms = self.now_ms(now).saturating_add(resume_ms);
+        let servers = self
+            .servers_of_program
+            .get(&program)
+            .cloned()
+            .unwrap_or_default();
         let mut actions = Vec::new();
-        for place in places {
-            self.servers[place].cache.pause(program, until);
-            self.export(place, &mut actions);
+        for index in servers {
+            self.servers[index].cache.pause(program, resume_ms);
+            self.export(index, &mut actions);
         }
         actions
     }
 
-    /// Moves idle cache out of a server before the server drops what it used longest ago.
+    /// Exports idle cache before the server evicts it in LRU order.
     fn export(&mut self, index: usize, actions: &mut Vec<Action>) {
-        if !self.exports {
+        if !self.export_enabled {
             return;
         }
         let server = &mut self.servers[index];
-        let out = server.cache.excess().into_iter();
-        actions.extend(out.map(|program| Action::Export(server.name.clone(), program)));
+        let programs = server.cache.take_excess().into_iter();
+        actions.extend(programs.map(|program| Action::Export(server.name.clone(), program)));
     }
 
-    /// Grants what can be granted now.
+    /// Grants queued calls that fit.
     pub fn grant(&mut self, now: Instant) -> Vec<Action> {
-        self.wake(now);
+        self.restore_ejected(now);
         let mut actions = Vec::new();
-        if self.queue.is_empty() || self.open.is_empty() {
+        if self.queue.is_empty() || self.available.is_empty() {
             return actions;
         }
-        let clock = self.clock(now);
-        for permit in self.queue.first(clock, SCAN) {
-            if self.open.is_empty() {
+        let now_ms = self.now_ms(now);
+        for permit in self.queue.most_urgent(now_ms, MAX_SCANNED) {
+            if self.available.is_empty() {
                 break;
             }
-            let Some((waiting, band)) = self.queue.get(permit) else {
+            let Some((call, band)) = self.queue.get(permit) else {
                 continue;
             };
-            let Some(index) = self.place(&waiting.ask, band == Band::Fills) else {
+            let Some(index) = self.choose_server(&call.request, band == Band::Backfill) else {
                 continue;
             };
-            if let Some(waiting) = self.queue.remove(permit) {
-                self.fetch(waiting.ask.program, index, &mut actions);
-                self.start(permit, index, &waiting.ask);
+            if let Some(call) = self.queue.remove(permit) {
+                self.export_from_others(call.request.program, index, &mut actions);
+                self.start(permit, index, &call.request);
                 self.export(index, &mut actions);
                 actions.push(Action::Grant(permit, self.servers[index].name.clone()));
             }
@@ -220,127 +234,150 @@
         actions
     }
 
-    /// Moves a program's cache out of the servers that it leaves.
-    fn fetch(&mut self, program: Program, to: usize, actions: &mut Vec<Action>) {
-        if !self.exports {
+    /// Exports the program's cache from all servers but the one that runs its next call.
+    fn export_from_others(&mut self, program: Program, target: usize, actions: &mut Vec<Action>) {
+        if !self.export_enabled {
             return;
         }
-        for place in self.places.get(&program).into_iter().flatten() {
-            let server = &mut self.servers[*place];
-            if *place != to && server.cache.tokens(program) > 0 {
-                server.cache.forget(program);
+        for holder in self.servers_of_program.get(&program).into_iter().flatten() {
+            let server = &mut self.servers[*holder];
+            if *holder != target && server.cache.tokens(program) > 0 {
+                server.cache.remove(program);
                 actions.push(Action::Export(server.name.clone(), program));
             }
         }
     }
 
-    fn start(&mut self, permit: Permit, index: usize, ask: &Ask) {
-        let tokens = ask.prompt.0 + ask.max_tokens.0;
-        self.servers[index].start(permit, ask.program, tokens);
+    fn start(&mut self, permit: Permit, index: usize, request: &Ask) {
+        let tokens = request.prompt.0 + request.max_tokens.0;
+        self.servers[index].start(permit, request.program, tokens);
         self.running.insert(permit, index);
-        self.queue.granted();
-        self.refresh(index);
+        self.queue.record_grant();
+        self.update_availability(index);
     }
 
-    /// The server to give a call to now; none when it should rather wait.
-    fn place(&self, ask: &Ask, fills: bool) -> Option<usize> {
-        let homes = self.homes(ask);
-        let choices = self.open.iter().map(|(_, index)| *index).take(CHOICES);
-        let open = homes.iter().copied().chain(choices).filter(|index| {
+    /// The server for a call; none if the call should wait for one that may have cached its
+    /// program.
+    fn choose_server(&self, request: &Ask, backfill: bool) -> Option<usize> {
+        let cache_holders = self.cache_holders(request);
+        let others = self
+            .available
+            .iter()
+            .map(|(_, index)| *index)
+            .take(MAX_OTHER_CANDIDATES);
+        let candidates = cache_holders.iter().copied().chain(others).filter(|index| {
             let server = &self.servers[*index];
-            self.keys[*index].is_some() && server.has_room(&self.pace, fills)
+            self.availability_keys[*index].is_some() && server.has_room(&self.pace, backfill)
         });
-        let (cost, best) = open
-            .map(|index| (self.cost(index, ask), index))
+        let (cost_ms, best) = candidates
+            .map(|index| (self.expected_cost_ms(index, request), index))
             .min_by(|a, b| a.0.total_cmp(&b.0))?;
-        let waits = homes.iter().any(|home| {
-            let server = &self.servers[*home];
-            let away = server.leaving || server.rests_until.is_some();
-            !away && !ask.avoid.contains(&server.name) && self.wait_ms(*home, ask) < cost
+        let should_wait = cache_holders.iter().any(|holder| {
+            let server = &self.servers[*holder];
+            let unavailable = server.draining || server.ejected_until.is_some();
+            !unavailable
+                && !request.avoid.contains(&server.name)
+                && self.expected_wait_ms(*holder, request) < cost_ms
         });
-        (homes.contains(&best) || !waits).then_some(best)
+        (cache_holders.contains(&best) || !should_wait).then_some(best)
     }
 
-    /// Servers that may hold the program's cache.
-    fn homes(&self, ask: &Ask) -> Vec<usize> {
-        let mut homes = self.places.get(&ask.program).cloned().unwrap_or_default();
-        if homes.is_empty() {
-            homes.extend(ask.resident.iter().filter_map(|name| self.index.get(name)));
+    /// Servers that may have cached the program.
+    fn cache_holders(&self, request: &Ask) -> Vec<usize> {
+        let mut cache_holders = self
+            .servers_of_program
+            .get(&request.program)
+            .cloned()
+            .unwrap_or_default();
+        if cache_holders.is_empty() {
+            cache_holders.extend(
+                request
+                    .resident
+                    .iter()
+                    .filter_map(|name| self.index_by_name.get(name)),
+            );
         }
-        homes
+        cache_holders
     }
 
-    fn cost(&self, index: usize, ask: &Ask) -> f64 {
+    fn expected_cost_ms(&self, index: usize, request: &Ask) -> f64 {
         let server = &self.servers[index];
-        let mut cost = server.call_ms(&self.pace, ask.program, ask.prompt.0, ask.max_tokens.0);
-        let more =
-            (ask.prompt.0 + ask.max_tokens.0).saturating_sub(server.cache.tokens(ask.program));
-        if !server.cache.fits(more) {
-            cost += more as f64 * self.pace.prefill_ms();
+        let mut cost_ms = server.expected_call_ms(
+            &self.pace,
+            request.program,
+            request.prompt.0,
+            request.max_tokens.0,
+        );
+        let new_tokens = (request.prompt.0 + request.max_tokens.0)
+            .saturating_sub(server.cache.tokens(request.program));
+        if !server.cache.fits(new_tokens) {
+            cost_ms += new_tokens as f64 * self.pace.prefill_ms();
         }
-        if ask.avoid.contains(&server.name) {
-            cost += AVOID_MS;
+        if request.avoid.contains(&server.name) {
+            cost_ms += AVOID_COST_MS;
         }
-        cost
+        cost_ms
     }
 
-    /// Expected time until a full server has run this call.
-    fn wait_ms(&self, index: usize, ask: &Ask) -> f64 {
-        let cost = self.cost(index, ask);
-        cost + cost / (self.servers[index].running() as f64).max(1.0)
+    /// Expected time until a busy server completes this call: its queue time and its duration.
+    fn expected_wait_ms(&self, index: usize, request: &Ask) -> f64 {
+        let cost_ms = self.expected_cost_ms(index, request);
+        cost_ms + cost_ms / (self.servers[index].running() as f64).max(1.0)
     }
 
-    /// Calls that wait, and calls that run by server.
+    /// Number of queued calls, and of running calls by server.
     #[must_use]
-    pub fn load(&self) -> (usize, BTreeMap<Name, usize>) {
+    pub fn load(&self) -> (usize, BTreeMap<ServerName, usize>) {
         let running = self
             .servers
             .iter()
-            .filter(|server| !server.leaving || server.running() > 0)
+            .filter(|server| !server.draining || server.running() > 0)
             .map(|server| (server.name.clone(), server.running()));
         (self.queue.len(), running.collect())
     }
 
-    /// Calls that a server is given at a time, on average.
+    /// Mean window of the servers, in calls.
     #[must_use]
     pub fn window(&self) -> f64 {
         let count = (self.servers.len() as f64).max(1.0);
-        let sizes = self.servers.iter().map(|server| server.size(&self.pace));
-        (sizes.sum::<f64>() / count).max(1.0)
+        let windows = self.servers.iter().map(|server| server.window(&self.pace));
+        (windows.sum::<f64>() / count).max(1.0)
     }
 
-    /// What the pool gives, for those that decide whether a program may start.
+    /// Engine cost and capacity of the pool, for admission control.
     #[must_use]
     pub fn rates(&self) -> Rates {
         let window = self.window();
         let usable = self
             .servers
             .iter()
-            .filter(|server| !server.leaving && server.rests_until.is_none());
+            .filter(|server| !server.draining && server.ejected_until.is_none());
         Rates {
             prefill_ms: self.pace.prefill_ms(),
             token_ms: self.pace.token_ms(window) / window,
-            capacity: usable.map(|server| 1.0 / server.ratio.get().max(1.0)).sum(),
+            capacity: usable
+                .map(|server| 1.0 / server.slowdown.get().max(1.0))
+                .sum(),
         }
     }
 
-    fn wake(&mut self, now: Instant) {
-        while let Some(&(until, index)) = self.resting.first() {
+    fn restore_ejected(&mut self, now: Instant) {
+        while let Some(&(until, index)) = self.ejected.first() {
             if until > now {
                 return;
             }
-            self.resting.remove(&(until, index));
-            if self.servers[index].rests_until == Some(until) {
-                self.servers[index].rests_until = None;
-                self.refresh(index);
+            self.ejected.remove(&(until, index));
+            if self.servers[index].ejected_until == Some(until) {
+                self.servers[index].ejected_until = None;
+                self.update_availability(index);
             }
         }
     }
 
-    /// Sets anew whether a server is among those with room.
-    fn refresh(&mut self, index: usize) {
+    /// Updates whether a server is among those with room.
+    fn update_availability(&mut self, index: usize) {
         let server = &self.servers[index];
-        let usable = !server.leaving && server.rests_until.is_none();
+        let usable = !server.draining && server.ejected_until.is_none();
         let running = server.running() as f64 + 1.0;
         #[expect(
             clippy::cast_possible_truncation,
@@ -348,20 +385,20 @@
             reason = "microseconds"
         )]
         let key = (usable && server.has_room(&self.pace, false))
-            .then(|| (self.pace.token_ms(running) * server.ratio.get() * 1000.0) as u64);
-        if let Some(old) = self.keys[index] {
-            self.open.remove(&(old, index));
+            .then(|| (self.pace.token_ms(running) * server.slowdown.get() * 1000.0) as u64);
+        if let Some(old) = self.availability_keys[index] {
+            self.available.remove(&(old, index));
         }
         if let Some(key) = key {
-            self.open.insert((key, index));
+            self.available.insert((key, index));
         }
-        self.keys[index] = key;
+        self.availability_keys[index] = key;
     }
 
-    /// Milliseconds since the pool was first used.
-    fn clock(&mut self, now: Instant) -> i64 {
+    /// Milliseconds since the first call.
+    fn now_ms(&mut self, now: Instant) -> i64 {
         let epoch = *self.epoch.get_or_insert(now);
-        let since = now.saturating_duration_since(epoch).as_millis();
-        i64::try_from(since).unwrap_or(i64::MAX)
+        let elapsed_ms = now.saturating_duration_since(epoch).as_millis();
+        i64::try_from(elapsed_ms).unwrap_or(i64::MAX)
     }
 }
--- a/src/policy/programs.rs
+++ b/src/policy/programs.rs
@@ -1,204 +1,216 @@
-//! The programs whose requests ask for the servers of one service, and which of them count on
-//! ending in time.
+//! Programs with requests for one service, and admission control for them.
 //!
-//! Load it answers: a burst of programs of many turns. The first turns of all of them find room,
-//! and then their later turns and sub-agents need more than there is: every program is late, and
-//! engines read prompts again that they dropped meanwhile. So a new program is admitted only while
-//! the places that programs need at a time fit into the servers; the rest wait behind those that
-//! were admitted, and cost nothing meanwhile.
+//! If all programs of a burst started at once, their later turns and sub-agents would exceed the
+//! capacity, all of them would be late and engines would evict prompts that are needed again. A new
+//! program is therefore admitted only while the expected slot use of the admitted programs fits the
+//! servers.
 
 use super::dispatch::Ask;
-use super::standing::Standing;
+use super::standing::Priority;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Places that a program needs at a time, before any has been seen to end.
-const NEED: f64 = 0.8;
-/// The most that one program is taken to need, so that one that loops does not decide.
-const MOST_NEED: f64 = 4.0;
-/// How many times as long as on idle servers a program may take to its target, as the users' targets
-/// are set: 1.3 to 1.6 times.
-const STRETCH: f64 = 1.5;
-/// The part of the places that programs may need. Their turns come when they come, and engines slow
-/// down when they are full.
-const FIT: f64 = 0.65;
-/// Weight of the newest program in what is learned.
-const NEWEST: f64 = 0.05;
-/// How long a program makes no request before it counts as ended: tools take up to 1.5 s and
-/// callers pause for up to 0.6 s between two turns.
-const IDLE: Duration = Duration::from_millis(2500);
-/// How long a program is remembered.
-const REMEMBERED: Duration = Duration::from_secs(30);
-/// Programs that are remembered.
-const PROGRAMS: usize = 50_000;
+/// Expected slots in use by one program before any has ended.
+const INITIAL_SLOTS_PER_PROGRAM: f64 = 0.8;
+/// Limit of one sample, so that a program stuck in a loop does not distort the average.
+const MAX_SLOTS_PER_PROGRAM: f64 = 4.0;
+/// Assumed ratio of a program's target time to its time on idle servers.
+const TARGET_TO_IDLE_TIME_RATIO: f64 = 1.5;
+/// Fraction of the capacity that may be reserved. Leaves headroom for turns that coincide, as full
+/// engines are slower.
+const MAX_RESERVED_SHARE: f64 = 0.65;
+/// Weight of the newest program in the average slot use.
+const EWMA_WEIGHT: f64 = 0.05;
+/// A program without requests for this long counts as ended. Longer than a tool call with a pause
+/// of the caller.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How long an ended program is remembered.
+const RETENTION: Duration = Duration::from_secs(30);
+/// Cleared when full.
+const MAX_PROGRAMS: usize = 50_000;
 
-/// One program.
 #[derive(Debug)]
 struct Program {
-    /// When it began, in milliseconds of the queue's clock.
-    begun: i64,
-    /// When it should be finished.
-    finish: i64,
+    /// Start, in milliseconds of the dispatcher's clock.
+    start_ms: i64,
+    /// Deadline, on the same clock.
+    deadline_ms: i64,
     rank: u8,
     /// Whether a request of it was granted.
-    started: bool,
-    /// The places that are set aside for it, if it was admitted.
-    admitted: Option<f64>,
-    /// Whether it made no request for [`IDLE`], and was learned from.
+    has_started: bool,
+    /// Slots reserved for it; none if it is not admitted.
+    reserved_slots: Option<f64>,
+    /// Whether it has made no request for [`IDLE_TIMEOUT`] and its slot use was recorded.
     ended: bool,
-    /// Whether it was seen from its first request on.
-    whole: bool,
+    /// Whether its first request was seen here, so that its slot use is complete.
+    seen_from_start: bool,
     /// Time that its requests spent at servers, in milliseconds.
-    used_ms: f64,
-    /// Requests that wait or run.
-    open: u32,
-    seen: Instant,
+    server_ms: f64,
+    /// Queued and running requests.
+    open_requests: u32,
+    last_activity: Instant,
 }
 
-/// All programs of one service.
+/// The programs of one service.
 #[derive(Debug, Default)]
 pub(super) struct Programs {
-    known: HashMap<u64, Program>,
-    /// Places that are set aside.
-    admitted: f64,
-    /// Places that a program needs at a time, by rank.
-    needs: BTreeMap<u8, f64>,
+    by_key: HashMap<u64, Program>,
+    /// Sum of the slots reserved for admitted programs.
+    reserved_slots: f64,
+    /// Average slots in use by one program, by rank.
+    slots_per_program: BTreeMap<u8, f64>,
 }
 
 impl Programs {
-    /// A request came at `clock`, in milliseconds; `capacity` is the number of places.
-    pub(super) fn arrive(
+    /// Records the arrival of a request at `now_ms`, and admits its program if it fits into
+    /// `capacity` slots.
+    pub(super) fn request_arrived(
         &mut self,
         now: Instant,
-        clock: i64,
-        ask: &Ask,
+        now_ms: i64,
+        request: &Ask,
         capacity: f64,
-    ) -> Standing {
-        let finish = clock.saturating_add(ask.left_ms);
-        let Some(key) = ask.program else {
-            return Standing {
-                begun: clock,
-                finish,
-                asked: clock,
-                started: true,
+    ) -> Priority {
+        let deadline_ms = now_ms.saturating_add(request.left_ms);
+        let Some(key) = request.program else {
+            return Priority {
+                start_ms: now_ms,
+                deadline_ms,
+                arrival_ms: now_ms,
+                has_started: true,
                 admitted: true,
-                rank: ask.rank,
+                rank: request.rank,
             };
         };
-        if self.known.len() >= PROGRAMS {
-            self.known.clear();
-            self.admitted = 0.0;
+        if self.by_key.len() >= MAX_PROGRAMS {
+            self.by_key.clear();
+            self.reserved_slots = 0.0;
         }
-        // One that began before it was known here has used a part of its time that can only be
-        // guessed; it must not count as new.
-        let met = ask.turns > 1;
-        let before = if met { ask.left_ms.max(0) / 2 } else { 0 };
-        let program = self.known.entry(key).or_insert_with(|| Program {
-            begun: clock - before,
-            finish,
-            rank: ask.rank,
-            started: met,
-            admitted: None,
+        // A program that is first seen after its first turn must not count as new. Half of its
+        // remaining time is assumed to have passed before.
+        let already_started = request.turns > 1;
+        let assumed_elapsed_ms = if already_started {
+            request.left_ms.max(0) / 2
+        } else {
+            0
+        };
+        let program = self.by_key.entry(key).or_insert_with(|| Program {
+            start_ms: now_ms - assumed_elapsed_ms,
+            deadline_ms,
+            rank: request.rank,
+            has_started: already_started,
+            reserved_slots: None,
             ended: false,
-            whole: !met,
-            used_ms: 0.0,
-            open: 0,
-            seen: now,
+            seen_from_start: !already_started,
+            server_ms: 0.0,
+            open_requests: 0,
+            last_activity: now,
         });
-        program.open += 1;
-        program.seen = now;
+        program.open_requests += 1;
+        program.last_activity = now;
         program.ended = false;
-        self.admit(clock, key, capacity);
-        self.standing(clock, key, ask)
+        self.try_admit(now_ms, key, capacity);
+        self.priority(now_ms, key, request)
     }
 
-    /// Where a request stands now.
-    pub(super) fn standing(&self, asked: i64, key: u64, ask: &Ask) -> Standing {
-        let program = self.known.get(&key);
-        Standing {
-            begun: program.map_or(asked, |program| program.begun),
-            finish: program.map_or(asked, |program| program.finish),
-            asked,
-            started: program.is_none_or(|program| program.started),
-            admitted: program.is_none_or(|program| program.admitted.is_some()),
-            rank: ask.rank,
+    /// Priority of a request that arrived at `arrival_ms`.
+    pub(super) fn priority(&self, arrival_ms: i64, key: u64, request: &Ask) -> Priority {
+        let program = self.by_key.get(&key);
+        Priority {
+            start_ms: program.map_or(arrival_ms, |program| program.start_ms),
+            deadline_ms: program.map_or(arrival_ms, |program| program.deadline_ms),
+            arrival_ms,
+            has_started: program.is_none_or(|program| program.has_started),
+            admitted: program.is_none_or(|program| program.reserved_slots.is_some()),
+            rank: request.rank,
         }
     }
 
-    /// Admits a program if it fits beside the others. Tells whether it is.
-    pub(super) fn admit(&mut self, clock: i64, key: u64, capacity: f64) -> bool {
-        let Some(program) = self.known.get_mut(&key) else {
+    /// Admits a program if its expected slot use fits. Returns whether it is admitted.
+    pub(super) fn try_admit(&mut self, now_ms: i64, key: u64, capacity: f64) -> bool {
+        let Some(program) = self.by_key.get_mut(&key) else {
             return false;
         };
-        if program.admitted.is_some() {
+        if program.reserved_slots.is_some() {
             return true;
         }
-        let need = self.needs.get(&program.rank).copied().unwrap_or(NEED);
-        if program.finish <= clock || self.admitted + need > capacity * FIT {
+        let slots = self
+            .slots_per_program
+            .get(&program.rank)
+            .copied()
+            .unwrap_or(INITIAL_SLOTS_PER_PROGRAM);
+        if program.deadline_ms <= now_ms
+            || self.reserved_slots + slots > capacity * MAX_RESERVED_SHARE
+        {
             return false;
         }
-        program.admitted = Some(need);
-        self.admitted += need;
+        program.reserved_slots = Some(slots);
+        self.reserved_slots += slots;
         true
     }
 
-    /// A request of a program goes to a server.
-    pub(super) fn granted(&mut self, key: u64) {
-        if let Some(program) = self.known.get_mut(&key) {
-            program.started = true;
+    /// Notes that a request of the program was granted.
+    pub(super) fn request_granted(&mut self, key: u64) {
+        if let Some(program) = self.by_key.get_mut(&key) {
+            program.has_started = true;
         }
     }
 
-    /// A request of a program is over, after this time at a server.
-    pub(super) fn done(&mut self, now: Instant, key: u64, took: Duration) {
-        let Some(program) = self.known.get_mut(&key) else {
+    /// Ends a request that spent `took` at a server.
+    pub(super) fn request_ended(&mut self, now: Instant, key: u64, took: Duration) {
+        let Some(program) = self.by_key.get_mut(&key) else {
             return;
         };
-        program.open = program.open.saturating_sub(1);
-        program.seen = now;
-        program.used_ms += took.as_secs_f64() * 1000.0;
+        program.open_requests = program.open_requests.saturating_sub(1);
+        program.last_activity = now;
+        program.server_ms += took.as_secs_f64() * 1000.0;
     }
 
-    /// Frees what is set aside for programs that have ended or are late.
-    pub(super) fn sweep(&mut self, now: Instant, clock: i64) {
-        for program in self.known.values_mut() {
-            let idle = program.open == 0 && program.seen + IDLE <= now;
+    /// Releases the slots reserved by ended or late programs.
+    pub(super) fn sweep(&mut self, now: Instant, now_ms: i64) {
+        for program in self.by_key.values_mut() {
+            let idle = program.open_requests == 0 && program.last_activity + IDLE_TIMEOUT <= now;
             if idle && !program.ended {
                 program.ended = true;
-                if let Some(sample) = program.need() {
-                    let need = self.needs.entry(program.rank).or_insert(NEED);
-                    *need += NEWEST * (sample - *need);
+                if let Some(sample) = program.slots_used() {
+                    let slots = self
+                        .slots_per_program
+                        .entry(program.rank)
+                        .or_insert(INITIAL_SLOTS_PER_PROGRAM);
+                    *slots += EWMA_WEIGHT * (sample - *slots);
                 }
             }
-            if idle || program.finish <= clock {
-                self.admitted -= program.admitted.take().unwrap_or_default();
+            if idle || program.deadline_ms <= now_ms {
+                self.reserved_slots -= program.reserved_slots.take().unwrap_or_default();
             }
         }
-        self.known
-            .retain(|_, program| program.open > 0 || program.seen + REMEMBERED > now);
+        self.by_key.retain(|_, program| {
+            program.open_requests > 0 || program.last_activity + RETENTION > now
+        });
     }
 
-    /// Places that a program needs at a time, by rank.
-    pub(super) const fn needs(&self) -> &BTreeMap<u8, f64> {
-        &self.needs
+    /// Average slots in use by one program, by rank.
+    pub(super) const fn slots_per_program(&self) -> &BTreeMap<u8, f64> {
+        &self.slots_per_program
     }
 
-    /// How many programs are known, and how many of them count on ending in time.
-    pub(super) fn len(&self) -> (usize, usize) {
+    /// Number of known programs, and of admitted ones.
+    pub(super) fn counts(&self) -> (usize, usize) {
         let admitted = self
-            .known
+            .by_key
             .values()
-            .filter(|program| program.admitted.is_some());
-        (self.known.len(), admitted.count())
+            .filter(|program| program.reserved_slots.is_some());
+        (self.by_key.len(), admitted.count())
     }
 }
 
 impl Program {
-    /// The places that it needed at a time, where all of it was seen.
-    fn need(&self) -> Option<f64> {
-        let alone_ms = (self.finish - self.begun).max(1) as f64 / STRETCH;
-        let seen = self.whole && self.used_ms > 0.0;
-        seen.then(|| (self.used_ms / alone_ms).min(MOST_NEED))
+    /// Average slots that it used; none if only a part of it was seen.
+    fn slots_used(&self) -> Option<f64> {
+        let idle_time_ms =
+            (self.deadline_ms - self.start_ms).max(1) as f64 / TARGET_TO_IDLE_TIME_RATIO;
+        let is_complete = self.seen_from_start && self.server_ms > 0.0;
+        is_complete.then(|| (self.server_ms / idle_time_ms).min(MAX_SLOTS_PER_PROGRAM))
     }
 }
--- a/src/policy/queue.rs
+++ b/src/policy/queue.rs
@@ -1,162 +1,168 @@
-//! Calls that wait, in the order in which they should go.
+//! Priority queue of calls that wait for a server.
 
 use crate::id::Permit;
 use std::collections::{BTreeSet, HashMap};
 
-/// Where a call stands.
+/// Priority band of a call. On-time calls go first, then late ones, then backfill.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Band {
-    /// It makes its target with much to spare, and only fills what others leave.
-    Fills,
-    /// It makes its target if it goes in order of slack.
+    /// Only gets slots that the other bands leave: it has ample slack, or is too late to be useful.
+    Backfill,
+    /// Can meet its target if it is granted in order.
     OnTime,
-    /// It can no longer make its target.
+    /// Is expected to miss its target, or was not admitted.
     Late,
 }
 
-/// How a call that waits is ordered. Times are milliseconds of the queue's clock.
-pub(super) trait Order {
-    /// One in so many grants goes to a program that can no longer make its target.
-    const LATE_SHARE: u64;
+/// Order of a queued call. Times are milliseconds of the queue's clock.
+pub(super) trait Prioritized {
+    /// One in this many grants considers the late band first, so that it is not starved.
+    const LATE_GRANT_INTERVAL: u64;
 
-    /// The band at a time, and when that ends.
-    fn band(&self, now: i64) -> (Band, i64);
+    /// The band at `now_ms`, and the last moment at which it applies.
+    fn band(&self, now_ms: i64) -> (Band, i64);
 
-    /// The place within a band; the lowest goes first.
-    fn key(&self, band: Band) -> i64;
+    /// Position within the band; the lowest goes first.
+    fn sort_key(&self, band: Band) -> i64;
 }
 
 #[derive(Debug)]
-struct Place<W> {
-    waiting: W,
+struct Entry<W> {
+    item: W,
     band: Band,
-    until: i64,
+    /// Last moment at which the band applies.
+    until_ms: i64,
 }
 
-/// The calls that wait: by least slack those that can make their target, then the late ones,
-/// then those that only fill.
+/// Queued calls by band. Calls change bands as time passes.
 #[derive(Debug)]
 pub(super) struct Queue<W> {
-    places: HashMap<Permit, Place<W>>,
-    fills: BTreeSet<(i64, Permit)>,
+    entries: HashMap<Permit, Entry<W>>,
+    backfill: BTreeSet<(i64, Permit)>,
     on_time: BTreeSet<(i64, Permit)>,
     late: BTreeSet<(i64, Permit)>,
-    changes: BTreeSet<(i64, Permit)>,
+    /// When calls leave their band, unless they stay in it.
+    band_ends: BTreeSet<(i64, Permit)>,
     grants: u64,
 }
 
 impl<W> Default for Queue<W> {
     fn default() -> Self {
         Self {
-            places: HashMap::new(),
-            fills: BTreeSet::new(),
+            entries: HashMap::new(),
+            backfill: BTreeSet::new(),
             on_time: BTreeSet::new(),
             late: BTreeSet::new(),
-            changes: BTreeSet::new(),
+            band_ends: BTreeSet::new(),
             grants: 0,
         }
     }
 }
 
-impl<W: Order> Queue<W> {
+impl<W: Prioritized> Queue<W> {
     pub(super) fn len(&self) -> usize {
-        self.places.len()
+        self.entries.len()
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.entries.is_empty()
     }
 
     pub(super) fn get(&self, permit: Permit) -> Option<(&W, Band)> {
-        let place = self.places.get(&permit)?;
-        Some((&place.waiting, place.band))
+        let entry = self.entries.get(&permit)?;
+        Some((&entry.item, entry.band))
     }
 
-    pub(super) fn push(&mut self, now: i64, permit: Permit, waiting: W) {
-        let (band, until) = waiting.band(now);
-        self.order(band).insert((waiting.key(band), permit));
-        if until < i64::MAX {
-            self.changes.insert((until, permit));
+    pub(super) fn push(&mut self, now_ms: i64, permit: Permit, item: W) {
+        let (band, until_ms) = item.band(now_ms);
+        self.band_mut(band).insert((item.sort_key(band), permit));
+        if until_ms < i64::MAX {
+            self.band_ends.insert((until_ms, permit));
         }
-        let place = Place {
-            waiting,
+        let entry = Entry {
+            item,
             band,
-            until,
+            until_ms,
         };
-        self.places.insert(permit, place);
+        self.entries.insert(permit, entry);
     }
 
     pub(super) fn remove(&mut self, permit: Permit) -> Option<W> {
-        let Place {
-            waiting,
+        let Entry {
+            item,
             band,
-            until,
-        } = self.places.remove(&permit)?;
-        self.order(band).remove(&(waiting.key(band), permit));
-        self.changes.remove(&(until, permit));
-        Some(waiting)
+            until_ms,
+        } = self.entries.remove(&permit)?;
+        self.band_mut(band).remove(&(item.sort_key(band), permit));
+        self.band_ends.remove(&(until_ms, permit));
+        Some(item)
     }
 
-    fn order(&mut self, band: Band) -> &mut BTreeSet<(i64, Permit)> {
+    fn band_mut(&mut self, band: Band) -> &mut BTreeSet<(i64, Permit)> {
         match band {
-            Band::Fills => &mut self.fills,
+            Band::Backfill => &mut self.backfill,
             Band::OnTime => &mut self.on_time,
             Band::Late => &mut self.late,
         }
     }
 
     /// Calls that go before a new one of this band.
-    pub(super) fn ahead(&self, band: Band) -> usize {
+    pub(super) fn queued_ahead(&self, band: Band) -> usize {
         match band {
             Band::OnTime => self.on_time.len(),
             Band::Late => self.on_time.len() + self.late.len(),
-            Band::Fills => self.len(),
+            Band::Backfill => self.len(),
         }
     }
 
-    /// Calls that wait: those in time, the late ones, and those that only fill.
-    pub(super) fn bands(&self) -> [usize; 3] {
-        [self.on_time.len(), self.late.len(), self.fills.len()]
+    /// Number of on-time, late and backfill calls.
+    pub(super) fn band_lens(&self) -> [usize; 3] {
+        [self.on_time.len(), self.late.len(), self.backfill.len()]
     }
 
-    /// Calls that can no longer make their target and for which `over` holds.
-    pub(super) fn behind(&self, over: impl Fn(&W) -> bool) -> Vec<Permit> {
-        let behind = self.late.iter().chain(&self.fills);
-        let places = behind.filter_map(|(_, permit)| Some((permit, self.places.get(permit)?)));
-        places
-            .filter(|(_, place)| over(&place.waiting))
+    /// Late and backfill calls that match the predicate.
+    pub(super) fn late_matching(&self, matches: impl Fn(&W) -> bool) -> Vec<Permit> {
+        let candidates = self.late.iter().chain(&self.backfill);
+        let entries =
+            candidates.filter_map(|(_, permit)| Some((permit, self.entries.get(permit)?)));
+        entries
+            .filter(|(_, entry)| matches(&entry.item))
             .map(|(permit, _)| *permit)
             .collect()
     }
 
-    /// Counts a grant, which decides when late calls have their turn.
-    pub(super) fn granted(&mut self) {
+    /// Counts a grant, for [`Prioritized::LATE_GRANT_INTERVAL`].
+    pub(super) fn record_grant(&mut self) {
         self.grants += 1;
     }
 
-    /// The first calls to look at, most urgent first, at most `count` of those that compete and
-    /// as many of those that fill.
-    pub(super) fn first(&mut self, now: i64, count: usize) -> Vec<Permit> {
-        self.sort_out(now);
-        let turn = usize::from(self.grants % W::LATE_SHARE == W::LATE_SHARE - 1);
-        let late = self.late.iter().take(turn);
+    /// The most urgent calls: at most `count` on-time and late ones, followed by at most `count` of
+    /// the backfill band.
+    pub(super) fn most_urgent(&mut self, now_ms: i64, count: usize) -> Vec<Permit> {
+        self.update_bands(now_ms);
+        let late_first =
+            usize::from(self.grants % W::LATE_GRANT_INTERVAL == W::LATE_GRANT_INTERVAL - 1);
+        let late = self.late.iter().take(late_first);
         let on_time = self.on_time.iter();
         let competing = late
             .chain(on_time)
-            .chain(self.late.iter().skip(turn))
+            .chain(self.late.iter().skip(late_first))
             .take(count);
-        let fills = self.fills.iter().take(count);
-        competing.chain(fills).map(|(_, permit)| *permit).collect()
+        let backfill = self.backfill.iter().take(count);
+        competing
+            .chain(backfill)
+            .map(|(_, permit)| *permit)
+            .collect()
     }
 
-    /// Moves the calls whose band has changed with time.
-    fn sort_out(&mut self, now: i64) {
-        while let Some(&(until, permit)) = self.changes.first() {
-            if until >= now {
+    /// Moves calls whose band has expired.
+    fn update_bands(&mut self, now_ms: i64) {
+        while let Some(&(until_ms, permit)) = self.band_ends.first() {
+            if until_ms >= now_ms {
                 return;
             }
-            if let Some(waiting) = self.remove(permit) {
-                self.push(now, permit, waiting);
+            if let Some(item) = self.remove(permit) {
+                self.push(now_ms, permit, item);
             }
         }
     }
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -1,90 +1,96 @@
-//! One server of a pool: its window, its speed and what it holds.
+//! The concurrency window, speed and cached programs of one server of a pool.
 
 use super::ask::Outcome;
-use super::cache::Cache;
+use super::cache::CacheEstimate;
 use super::pace::{Pace, Ratio};
-use crate::id::{Permit, Program, Server as Name};
+use crate::id::{Permit, Program, Server as ServerName};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Calls that a server is given at a time before anything has been measured.
-const START: f64 = 24.0;
-/// The fewest calls of a window.
-const LEAST: f64 = 2.0;
-/// How many times as long as alone a token may take.
-const STRETCH: f64 = 2.2;
-/// How many times as long as alone a token may take when calls with much slack are added.
-const FILL: f64 = 1.2;
-/// How long a server rests after a failure; doubled with each further one.
-const REST: Duration = Duration::from_millis(500);
-/// The longest rest.
-const LONGEST_REST: Duration = Duration::from_secs(15);
-/// Times the expected time to the first token past which the server must queue calls itself.
-const QUEUES: f64 = 4.0;
-/// Milliseconds added to that.
-const QUEUES_MS: f64 = 800.0;
+/// Maximum window of a server before anything has been measured, in calls.
+const INITIAL_MAX_WINDOW: f64 = 24.0;
+/// Smallest window, in calls.
+const MIN_WINDOW: f64 = 2.0;
+/// The window may slow token generation down to this many times the time of a lone call.
+const MAX_TOKEN_SLOWDOWN: f64 = 2.2;
+/// The same for calls of the backfill band, which should not slow others down.
+const MAX_BACKFILL_SLOWDOWN: f64 = 1.2;
+/// First ejection; doubled with each further failure in a row.
+const EJECTION_TIME: Duration = Duration::from_millis(500);
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(15);
+/// A first token later than this many times its expected time, plus [`QUEUEING_MARGIN_MS`], means
+/// that the server queues calls internally.
+const QUEUEING_RATIO: f64 = 4.0;
+const QUEUEING_MARGIN_MS: f64 = 800.0;
 
 #[derive(Debug)]
-struct Flight {
+struct InFlight {
     program: Program,
-    running: usize,
+    running_at_start: usize,
 }
 
-/// One server.
 #[derive(Debug)]
 pub(super) struct Server {
-    pub(super) name: Name,
-    pub(super) cache: Cache,
-    pub(super) leaving: bool,
-    pub(super) rests_until: Option<Instant>,
-    pub(super) ratio: Ratio,
-    flights: HashMap<Permit, Flight>,
-    ceiling: f64,
-    failures: u32,
+    pub(super) name: ServerName,
+    pub(super) cache: CacheEstimate,
+    pub(super) draining: bool,
+    pub(super) ejected_until: Option<Instant>,
+    pub(super) slowdown: Ratio,
+    in_flight: HashMap<Permit, InFlight>,
+    /// Lowered when the server queues calls internally, otherwise raised by each completed call.
+    max_window: f64,
+    consecutive_failures: u32,
 }
 
 impl Server {
-    pub(super) fn new(name: Name) -> Self {
+    pub(super) fn new(name: ServerName) -> Self {
         Self {
             name,
-            cache: Cache::default(),
-            leaving: false,
-            rests_until: None,
-            ratio: Ratio::default(),
-            flights: HashMap::new(),
-            ceiling: START,
-            failures: 0,
+            cache: CacheEstimate::default(),
+            draining: false,
+            ejected_until: None,
+            slowdown: Ratio::default(),
+            in_flight: HashMap::new(),
+            max_window: INITIAL_MAX_WINDOW,
+            consecutive_failures: 0,
         }
     }
 
     pub(super) fn running(&self) -> usize {
-        self.flights.len()
+        self.in_flight.len()
     }
 
-    /// Calls that it may run at a time.
-    pub(super) fn size(&self, pace: &Pace) -> f64 {
-        let by_time = pace.calls_at(STRETCH / self.ratio.get().max(1.0));
-        by_time.min(self.ceiling).max(LEAST)
+    /// Calls that it may run concurrently.
+    pub(super) fn window(&self, pace: &Pace) -> f64 {
+        let slowdown_limit = pace.calls_at(MAX_TOKEN_SLOWDOWN / self.slowdown.get().max(1.0));
+        slowdown_limit.min(self.max_window).max(MIN_WINDOW)
     }
 
-    /// Whether another call may be given; `fills` when it has so much slack that it only fills.
-    pub(super) fn has_room(&self, pace: &Pace, fills: bool) -> bool {
-        let mut size = self.size(pace);
-        if fills {
-            size = size.min(pace.calls_at(FILL / self.ratio.get().max(1.0)));
+    /// Whether it can take another call; `backfill` for a call of the backfill band.
+    pub(super) fn has_room(&self, pace: &Pace, backfill: bool) -> bool {
+        let mut window = self.window(pace);
+        if backfill {
+            window =
+                window.min(pace.calls_at(MAX_BACKFILL_SLOWDOWN / self.slowdown.get().max(1.0)));
         }
-        (self.running() as f64) < size.max(1.0)
+        (self.running() as f64) < window.max(1.0)
     }
 
     pub(super) fn start(&mut self, permit: Permit, program: Program, tokens: u64) {
-        let running = self.flights.len();
-        self.flights.insert(permit, Flight { program, running });
+        let running_at_start = self.in_flight.len();
+        self.in_flight.insert(
+            permit,
+            InFlight {
+                program,
+                running_at_start,
+            },
+        );
         self.cache
-            .hold(program, tokens.max(self.cache.tokens(program)));
+            .set_tokens(program, tokens.max(self.cache.tokens(program)));
     }
 
-    /// A call is over. Gives its program, if it ran here.
+    /// Ends a call and records its outcome. Returns its program if the call ran here.
     pub(super) fn end(
         &mut self,
         now: Instant,
@@ -92,56 +98,65 @@
         outcome: Option<&Outcome>,
         pace: &mut Pace,
     ) -> Option<Program> {
-        let flight = self.flights.remove(&permit)?;
+        let call = self.in_flight.remove(&permit)?;
         match outcome {
-            Some(end) if end.failed => self.fail(now, flight.program),
-            Some(end) => self.learn(&flight, end, pace),
+            Some(result) if result.failed => self.record_failure(now, call.program),
+            Some(result) => self.record_success(&call, result, pace),
             None => {}
         }
-        Some(flight.program)
+        Some(call.program)
     }
 
-    fn fail(&mut self, now: Instant, program: Program) {
-        let rest = REST * 2_u32.saturating_pow(self.failures.min(8));
-        // Calls that were in flight together fail together, which counts as one failure.
-        if self.rests_until.is_none_or(|until| until <= now) {
-            self.failures += 1;
-            self.rests_until = Some(now + rest.min(LONGEST_REST));
+    fn record_failure(&mut self, now: Instant, program: Program) {
+        let duration = EJECTION_TIME * 2_u32.saturating_pow(self.consecutive_failures.min(8));
+        // In-flight calls that fail together count as one failure.
+        if self.ejected_until.is_none_or(|until| until <= now) {
+            self.consecutive_failures += 1;
+            self.ejected_until = Some(now + duration.min(MAX_EJECTION_TIME));
         }
-        self.cache.forget(program);
+        self.cache.remove(program);
     }
 
-    fn learn(&mut self, flight: &Flight, end: &Outcome, pace: &mut Pace) {
-        self.failures = 0;
-        let running = f64::midpoint(flight.running as f64, self.flights.len() as f64) + 1.0;
-        let fresh = end.prompt.0.saturating_sub(end.cached.0) as f64;
-        if end.completion.0 > 8 && end.rest_ms > 0.0 {
-            let time = end.rest_ms / end.completion.0 as f64;
-            self.ratio.take(time, pace.token_ms(running));
-            pace.token(running, time, self.ratio.get());
+    fn record_success(&mut self, call: &InFlight, outcome: &Outcome, pace: &mut Pace) {
+        self.consecutive_failures = 0;
+        let mean_running =
+            f64::midpoint(call.running_at_start as f64, self.in_flight.len() as f64) + 1.0;
+        let uncached_tokens = outcome.prompt.0.saturating_sub(outcome.cached.0) as f64;
+        if outcome.completion.0 > 8 && outcome.rest_ms > 0.0 {
+            let token_ms = outcome.rest_ms / outcome.completion.0 as f64;
+            self.slowdown.take(token_ms, pace.token_ms(mean_running));
+            pace.token(mean_running, token_ms, self.slowdown.get());
         }
-        if end.prompt.0 == 0 {
-            // A plain service: how long it takes says nothing of calls that it queues.
+        if outcome.prompt.0 == 0 {
+            // Plain services report no tokens; their latency does not show whether they queue
+            // calls.
             return;
         }
-        let expected = fresh * pace.prefill_ms() * self.ratio.get().max(1.0);
-        if end.first_ms > QUEUES * expected + QUEUES_MS {
-            self.ceiling = (self.ceiling * 0.97).min(running).max(LEAST);
+        let expected_ms = uncached_tokens * pace.prefill_ms() * self.slowdown.get().max(1.0);
+        if outcome.first_ms > QUEUEING_RATIO * expected_ms + QUEUEING_MARGIN_MS {
+            self.max_window = (self.max_window * 0.97).min(mean_running).max(MIN_WINDOW);
         } else {
-            self.ceiling += 4.0 / self.ceiling;
+            self.max_window += 4.0 / self.max_window;
         }
-        if fresh > 400.0 {
-            pace.prefill(end.first_ms / fresh);
+        if uncached_tokens > 400.0 {
+            pace.prefill(outcome.first_ms / uncached_tokens);
         }
-        let tokens = end.prompt.0 + end.completion.0;
-        self.cache.hold(flight.program, tokens);
+        let tokens = outcome.prompt.0 + outcome.completion.0;
+        self.cache.set_tokens(call.program, tokens);
     }
 
-    /// Expected time of a call here, in milliseconds.
-    pub(super) fn call_ms(&self, pace: &Pace, program: Program, prompt: u64, max: u64) -> f64 {
-        let fresh = prompt.saturating_sub(self.cache.tokens(program)) as f64;
-        let tokens = pace.expected(max as f64);
+    /// Expected duration of a call on this server, in milliseconds.
+    pub(super) fn expected_call_ms(
+        &self,
+        pace: &Pace,
+        program: Program,
+        prompt: u64,
+        max_tokens: u64,
+    ) -> f64 {
+        let uncached_tokens = prompt.saturating_sub(self.cache.tokens(program)) as f64;
+        let tokens = pace.expected(max_tokens as f64);
         let running = self.running() as f64 + 1.0;
-        (fresh * pace.prefill_ms() + tokens * pace.token_ms(running)) * self.ratio.get()
+        (uncached_tokens * pace.prefill_ms() + tokens * pace.token_ms(running))
+            * self.slowdown.get()
     }
 }
--- a/src/policy/slack.rs
+++ b/src/policy/slack.rs
@@ -1,57 +1,57 @@
-//! Where a program's call stands among those that wait: by slack against what remains of it.
+//! Priority of a queued call, by the slack of its program relative to the remaining time.
 
 use super::ask::Ask;
-use super::queue::{Band, Order};
+use super::queue::{Band, Prioritized};
 
-/// Share of the remaining time by which the estimate may be off before a program counts as late.
-const TOLERANCE: f64 = 0.5;
-/// A program whose slack is so many times what remains only fills what others leave.
-const FILLS: f64 = 6.0;
+/// Margin for the estimate, as a fraction of the remaining time, before a call counts as late.
+const LATE_TOLERANCE: f64 = 0.5;
+/// A call with more slack than this many times the remaining time is in the backfill band.
+const BACKFILL_SLACK_RATIO: f64 = 6.0;
 
-/// A call that waits. Times are milliseconds of the pool's clock.
+/// A queued call. Times are milliseconds of the pool's clock.
 #[derive(Debug, Clone)]
-pub(super) struct Waiting {
-    pub(super) ask: Ask,
-    /// When it must start for the whole program to make its target.
-    pub(super) start_by: i64,
-    pub(super) asked: i64,
+pub(super) struct QueuedCall {
+    pub(super) request: Ask,
+    /// Latest start with which the whole program meets its target.
+    pub(super) latest_start_ms: i64,
+    pub(super) arrival_ms: i64,
 }
 
-impl Waiting {
-    fn rest(&self) -> i64 {
-        i64::try_from(self.ask.remaining_ms).unwrap_or(i64::MAX)
+impl QueuedCall {
+    fn remaining_ms(&self) -> i64 {
+        i64::try_from(self.request.remaining_ms).unwrap_or(i64::MAX)
     }
 
     #[expect(clippy::cast_possible_truncation, reason = "milliseconds")]
-    fn shifted(&self, share: f64) -> i64 {
-        let shift = (self.rest() as f64 * share) as i64;
-        self.start_by.saturating_add(shift)
+    fn latest_start_plus(&self, remaining_share: f64) -> i64 {
+        let offset_ms = (self.remaining_ms() as f64 * remaining_share) as i64;
+        self.latest_start_ms.saturating_add(offset_ms)
     }
 }
 
-impl Order for Waiting {
-    const LATE_SHARE: u64 = 8;
-
-    fn band(&self, now: i64) -> (Band, i64) {
-        let tightens = self.shifted(-FILLS);
-        let late = self.shifted(TOLERANCE);
-        // Nothing is known of what remains where it is zero.
-        if self.ask.remaining_ms > 0 && now <= tightens {
-            (Band::Fills, tightens)
-        } else if now <= late {
-            (Band::OnTime, late)
+impl Prioritized for QueuedCall {
+    const LATE_GRANT_INTERVAL: u64 = 8;
+
+    fn band(&self, now_ms: i64) -> (Band, i64) {
+        let backfill_until_ms = self.latest_start_plus(-BACKFILL_SLACK_RATIO);
+        let on_time_until_ms = self.latest_start_plus(LATE_TOLERANCE);
+        // Zero means that the remaining time is unknown.
+        if self.request.remaining_ms > 0 && now_ms <= backfill_until_ms {
+            (Band::Backfill, backfill_until_ms)
+        } else if now_ms <= on_time_until_ms {
+            (Band::OnTime, on_time_until_ms)
         } else {
             (Band::Late, i64::MAX)
         }
     }
 
-    fn key(&self, band: Band) -> i64 {
+    fn sort_key(&self, band: Band) -> i64 {
         match band {
-            // The shortest rest first: what has begun ends, and its cache is not held for long.
-            Band::Fills => self.rest(),
-            Band::OnTime => self.start_by,
-            // The same, but waiting counts against it, so that none starves.
-            Band::Late => self.asked.saturating_add(self.rest()),
+            // Shortest remaining time first: programs that finish free their cache.
+            Band::Backfill => self.remaining_ms(),
+            Band::OnTime => self.latest_start_ms,
+            // Shortest remaining time first, with aging so that none starves.
+            Band::Late => self.arrival_ms.saturating_add(self.remaining_ms()),
         }
     }
 }
--- a/src/policy/window.rs
+++ b/src/policy/window.rs
@@ -1,7 +1,8 @@
-//! The window of one backend server: what runs there, how fast it is, and whether it is wanted.
+//! The concurrency window and health of one backend server, and the choice between servers.
 //!
-//! Load it answers: servers that are slow, fail, or run requests of others. Each is judged by its
-//! own answers against those of its kind; one that fails rests, and is then tried again.
+//! Slow servers, failing servers and servers with load from other senders get fewer requests. A
+//! server is compared with the others of its service; one that fails is ejected for a time that
+//! doubles with each failure in a row (outlier ejection).
 
 use super::dispatch::{Ask, Description, Load};
 use super::prefix::Prefixes;
@@ -11,203 +12,215 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a server rests after a failure; doubled with each further one in a row.
-const REST: Duration = Duration::from_millis(250);
-/// The longest rest: a server that is back should be found again within a few seconds.
-const LONGEST_REST: Duration = Duration::from_secs(4);
-/// Weight of the newest answer in the time that a server takes against its kind.
-const NEWEST: f64 = 0.15;
-/// Bounds of that ratio, so that one odd answer does not decide.
-const RATIO: (f64, f64) = (0.25, 8.0);
-/// What it costs to leave the zone, in parts of a server's window: bytes between zones are paid for, and one request
-/// more hardly slows a server.
-const FAR: f64 = 0.24;
-/// What it saves to go where the line of turns was before, in parts of a window, where nobody says of
-/// what the prompt consists.
-const NEAR_LINE: f64 = 1.0;
-/// Tokens to be read that cost as much as a whole window. While a server reads, all that run there stand still.
-const WINDOW_TOKENS: f64 = 1500.0;
-/// What it saves to go where the VM that asks has sent a request a moment ago, in parts of a window:
-/// its connection is likely to be open still, and a new one takes 2 ms more. It has to outweigh two
-/// requests, or a VM that sends few goes to whichever server has one less at the moment.
-const WARM: f64 = 0.4;
-/// How long a connection is likely to stay open after its last request; servers keep theirs for
-/// some seconds.
-const KEPT: Duration = Duration::from_secs(3);
-/// Requests that are sent to a server beyond its places. A place that is given back is known here, and taken again
-/// there, some milliseconds later.
-const AHEAD: usize = 3;
-/// What a server that answers with errors alone costs, in parts of a window. One that errs at once is always idle, and
-/// would draw most requests.
-const ERRORS: f64 = 2.0;
-/// Weight of the newest answer in the share of errors. Two in a row are needed before a server rests.
-const NEWEST_ERROR: f64 = 0.15;
-/// The share of errors from which a server rests after one. Plain services err at one of 100 requests by themselves.
-const FAULTY: f64 = 0.25;
-/// It rests only if it errs so many times as often as its kind: where all err, resting helps nobody.
-const WORSE: f64 = 3.0;
-/// Weight of the newest report in what a server runs beyond the requests sent from here.
-const NEWEST_REPORT: f64 = 0.1;
-
-/// One server.
+/// First ejection; doubled with each further failure in a row.
+const EJECTION_TIME: Duration = Duration::from_millis(250);
+/// A recovered server should be in use again within seconds.
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(4);
+/// Weight of the newest response in a server's slowdown.
+const LATENCY_EWMA_WEIGHT: f64 = 0.15;
+/// Bounds of one sample, against outliers.
+const SLOWDOWN_BOUNDS: (f64, f64) = (0.25, 8.0);
+/// Cost of a server in another zone, as a fraction of its window: traffic between zones is billed.
+const CROSS_ZONE_COST: f64 = 0.24;
+/// Bonus of the server that ran the previous turn of the session, as a fraction of its window. Only
+/// for prompts of unknown parts; others are scored by their uncached tokens.
+const SESSION_AFFINITY_BONUS: f64 = 1.0;
+/// Uncached prompt tokens that cost as much as a full window: a server generates nothing while it
+/// prefills a prompt.
+const UNCACHED_TOKENS_PER_WINDOW: f64 = 1500.0;
+/// Bonus of a server to which the sending VM probably has an open connection, as a fraction of its
+/// window. Must outweigh a difference of two requests in load.
+const OPEN_CONNECTION_BONUS: f64 = 0.4;
+/// Less than the keep-alive timeout of the servers.
+const CONNECTION_IDLE_TIME: Duration = Duration::from_secs(3);
+/// Requests sent to a server beyond its slots, so that a freed slot is refilled without a round
+/// trip.
+const MAX_REQUESTS_BEYOND_SLOTS: usize = 3;
+/// Cost of a server that only returns errors, as a fraction of its window. Without it, a server
+/// that fails fast looks idle and attracts requests.
+const ERROR_RATE_COST: f64 = 2.0;
+/// Weight of the newest response in a server's error rate.
+const ERROR_EWMA_WEIGHT: f64 = 0.15;
+/// Error rate above which an error ejects a server. Must be above that of a healthy service.
+const EJECTION_ERROR_RATE: f64 = 0.25;
+/// Ejection also needs an error rate this many times the mean of the service: if all servers fail,
+/// ejecting one does not help.
+const EJECTION_MEAN_RATIO: f64 = 3.0;
+/// Weight of the newest load report in a server's external load.
+const LOAD_EWMA_WEIGHT: f64 = 0.1;
+
 #[derive(Debug)]
 pub(super) struct Server {
-    pub(super) about: Description,
+    pub(super) info: Description,
     pub(super) in_flight: usize,
-    /// The parts of prompts that it keeps.
+    /// Prompt parts that it is expected to have cached.
     pub(super) prefixes: Prefixes,
-    /// When requests of VMs last ended here, by VM.
-    used: HashMap<u64, Instant>,
-    /// Requests of others that run there; below zero where requests sent from here have ended
-    /// without a word.
-    pub(super) others: f64,
-    /// The time that it takes against the usual one.
-    pub(super) ratio: f64,
-    pub(super) failures: u32,
-    /// The share of its answers that are errors of its own.
-    errors: f64,
-    pub(super) rests_until: Option<Instant>,
+    /// Time of the last completed request of each VM, which left a connection open.
+    last_used_by_vm: HashMap<u64, Instant>,
+    /// Estimated requests of other senders on the server; negative if requests of this dispatcher
+    /// ended there unnoticed.
+    pub(super) external_load: f64,
+    /// Its latency relative to the mean of the service; above 1 it is slower.
+    pub(super) slowdown: f64,
+    pub(super) consecutive_failures: u32,
+    /// Moving average of the share of responses that are server errors.
+    error_rate: f64,
+    pub(super) ejected_until: Option<Instant>,
 }
 
 impl Server {
-    pub(super) fn new(about: Description) -> Self {
+    pub(super) fn new(info: Description) -> Self {
         Self {
-            about,
+            info,
             in_flight: 0,
             prefixes: Prefixes::default(),
-            others: 0.0,
-            used: HashMap::new(),
-            ratio: 1.0,
-            failures: 0,
-            errors: 0.0,
-            rests_until: None,
+            external_load: 0.0,
+            last_used_by_vm: HashMap::new(),
+            slowdown: 1.0,
+            consecutive_failures: 0,
+            error_rate: 0.0,
+            ejected_until: None,
         }
     }
 
-    /// A request of a VM has ended here and left its connection open.
-    pub(super) fn used_by(&mut self, now: Instant, vm: u64) {
-        self.used.retain(|_, at| *at + KEPT > now);
-        self.used.insert(vm, now);
+    pub(super) fn record_connection(&mut self, now: Instant, vm: u64) {
+        self.last_used_by_vm
+            .retain(|_, at| *at + CONNECTION_IDLE_TIME > now);
+        self.last_used_by_vm.insert(vm, now);
     }
 
-    fn is_warm(&self, now: Instant, vm: u64) -> bool {
-        self.used.get(&vm).is_some_and(|at| *at + KEPT > now)
+    fn has_open_connection(&self, now: Instant, vm: u64) -> bool {
+        self.last_used_by_vm
+            .get(&vm)
+            .is_some_and(|at| *at + CONNECTION_IDLE_TIME > now)
     }
 
     pub(super) fn is_usable(&self, now: Instant) -> bool {
-        !self.about.leaving && self.rests_until.is_none_or(|until| until <= now)
+        !self.info.leaving && self.ejected_until.is_none_or(|until| until <= now)
     }
 
-    /// Whether it may get one more request of this band.
+    /// Whether it can take one more request of this band.
     pub(super) fn has_room(&self, now: Instant, band: Band) -> bool {
-        self.is_usable(now) && self.taken() + 0.5 <= self.size(band) as f64
+        self.is_usable(now) && self.load() + 0.5 <= self.max_in_flight(band) as f64
     }
 
-    /// Requests that it gets at a time, up to one of this band.
+    /// Maximum concurrent requests when granting one of this band.
     ///
-    /// Only those of admitted programs are sent ahead. Servers know no order: admitted programs that wait there behind
-    /// others are late as well, long after a burst.
-    fn size(&self, band: Band) -> usize {
-        let slots = self.about.slots;
+    /// Only requests of admitted programs may exceed the slots: the server would run late requests
+    /// queued there before admitted ones that arrive later.
+    fn max_in_flight(&self, band: Band) -> usize {
+        let slots = self.info.slots;
         match band {
-            Band::OnTime => slots + AHEAD.min(slots / 2),
-            Band::Late | Band::Fills => slots,
+            Band::OnTime => slots + MAX_REQUESTS_BEYOND_SLOTS.min(slots / 2),
+            Band::Late | Band::Backfill => slots,
         }
     }
 
-    /// How little it is wanted: the part of its window that is taken, on a slow server more.
+    /// Utilization after one more request, weighted by the slowdown.
     pub(super) fn cost(&self) -> f64 {
-        (self.taken() + 0.5) / self.about.slots as f64 * self.ratio
+        (self.load() + 0.5) / self.info.slots as f64 * self.slowdown
     }
 
-    /// Places that are taken, as far as is known.
-    pub(super) fn taken(&self) -> f64 {
-        (self.in_flight as f64 + self.others).max(0.0)
+    /// Estimated requests on the server, including those of other senders.
+    pub(super) fn load(&self) -> f64 {
+        (self.in_flight as f64 + self.external_load).max(0.0)
     }
 
-    /// Takes in a report that was made when so many requests from here ran there.
-    pub(super) fn report(&mut self, load: Load, in_flight: usize) {
-        let others = (load.running + load.waiting) as f64 - in_flight as f64;
-        self.others += NEWEST_REPORT * (others - self.others);
+    /// Records a load report of the server. `in_flight` is the number of this dispatcher's requests
+    /// that ran there at that time.
+    pub(super) fn record_load(&mut self, load: Load, in_flight: usize) {
+        let external_load = (load.running + load.waiting) as f64 - in_flight as f64;
+        self.external_load += LOAD_EWMA_WEIGHT * (external_load - self.external_load);
     }
 
-    /// It answered as it should.
-    pub(super) fn succeeded(&mut self) {
-        self.errors -= NEWEST_ERROR * self.errors;
-        if self.errors < FAULTY {
-            self.failures = 0;
+    pub(super) fn record_success(&mut self) {
+        self.error_rate -= ERROR_EWMA_WEIGHT * self.error_rate;
+        if self.error_rate < EJECTION_ERROR_RATE {
+            self.consecutive_failures = 0;
         }
     }
 
-    /// It answered with an error, where servers of its kind do so in this `usual` share.
-    pub(super) fn erred(&mut self, now: Instant, usual: f64) {
-        self.errors += NEWEST_ERROR * (1.0 - self.errors);
-        if self.errors > FAULTY.max(usual * WORSE) {
-            self.rest(now);
+    /// Records a server error; `mean_error_rate` is that of the service.
+    pub(super) fn record_error(&mut self, now: Instant, mean_error_rate: f64) {
+        self.error_rate += ERROR_EWMA_WEIGHT * (1.0 - self.error_rate);
+        if self.error_rate > EJECTION_ERROR_RATE.max(mean_error_rate * EJECTION_MEAN_RATIO) {
+            self.eject(now);
         }
     }
 
-    pub(super) fn rest(&mut self, now: Instant) {
-        let rest = REST * 2_u32.saturating_pow(self.failures.min(6));
-        self.failures += 1;
-        self.rests_until = Some(now + rest.min(LONGEST_REST));
+    pub(super) fn eject(&mut self, now: Instant) {
+        let duration = EJECTION_TIME * 2_u32.saturating_pow(self.consecutive_failures.min(6));
+        self.consecutive_failures += 1;
+        self.ejected_until = Some(now + duration.min(MAX_EJECTION_TIME));
     }
 }
 
-/// The share of errors in the answers of all servers of a kind.
-pub(super) fn usual_errors(servers: &[Server]) -> f64 {
-    let errors: f64 = servers.iter().map(|server| server.errors).sum();
-    errors / servers.len().max(1) as f64
+/// Mean error rate of the servers.
+pub(super) fn mean_error_rate(servers: &[Server]) -> f64 {
+    let error_sum: f64 = servers.iter().map(|server| server.error_rate).sum();
+    error_sum / servers.len().max(1) as f64
 }
 
-pub(super) fn learn(server: &mut Server, pace: &mut Option<f64>, took: Duration, work: f64) {
-    let sample = took.as_secs_f64() * 1000.0 / work.max(0.001);
-    let usual = pace.get_or_insert(sample);
-    let ratio = (sample / usual.max(0.001)).clamp(RATIO.0, RATIO.1);
-    server.ratio += NEWEST * (ratio - server.ratio);
-    // A server that is slow must not make the usual time longer.
-    *usual += NEWEST / 8.0 * (sample / server.ratio.max(RATIO.0) - *usual);
+pub(super) fn record_latency(
+    server: &mut Server,
+    mean_ms_per_work: &mut Option<f64>,
+    took: Duration,
+    work: f64,
+) {
+    let ms_per_work = took.as_secs_f64() * 1000.0 / work.max(0.001);
+    let mean = mean_ms_per_work.get_or_insert(ms_per_work);
+    let sample_slowdown =
+        (ms_per_work / mean.max(0.001)).clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1);
+    server.slowdown += LATENCY_EWMA_WEIGHT * (sample_slowdown - server.slowdown);
+    // Divided by the slowdown, so that a slow server does not raise the mean.
+    *mean +=
+        LATENCY_EWMA_WEIGHT / 8.0 * (ms_per_work / server.slowdown.max(SLOWDOWN_BOUNDS.0) - *mean);
 }
 
-/// The best of the candidates that have room.
+/// Index of the candidate with room that has the lowest cost.
 pub(super) fn choose(
     servers: &[Server],
     candidates: impl IntoIterator<Item = usize>,
-    ask: &Ask,
+    request: &Ask,
     band: Band,
-    line: Option<&Arc<str>>,
+    session_server: Option<&Arc<str>>,
     now: Instant,
 ) -> Option<usize> {
     let cost = |server: &Server| {
-        let far = if server.about.zone == ask.zone {
+        let cross_zone_cost = if server.info.zone == request.zone {
             0.0
         } else {
-            FAR
+            CROSS_ZONE_COST
         };
-        let near = if ask.prompt.is_empty() && line == Some(&server.about.id) {
-            NEAR_LINE
+        let session_bonus = if request.prompt.is_empty() && session_server == Some(&server.info.id)
+        {
+            SESSION_AFFINITY_BONUS
         } else {
             0.0
         };
-        let avoided = if ask.avoid.contains(&server.about.id) {
+        let avoid_cost = if request.avoid.contains(&server.info.id) {
             100.0
         } else {
             0.0
         };
-        let warm = if server.is_warm(now, ask.vm) {
-            WARM
+        let connection_bonus = if server.has_open_connection(now, request.vm) {
+            OPEN_CONNECTION_BONUS
         } else {
             0.0
         };
-        let unread = server.prefixes.missing(&ask.prompt) as f64 / WINDOW_TOKENS;
-        let errors = server.errors * ERRORS;
-        server.cost() + far + avoided + unread + errors - near - warm
+        let uncached_cost =
+            server.prefixes.missing(&request.prompt) as f64 / UNCACHED_TOKENS_PER_WINDOW;
+        let error_cost = server.error_rate * ERROR_RATE_COST;
+        server.cost() + cross_zone_cost + avoid_cost + uncached_cost + error_cost
+            - session_bonus
+            - connection_bonus
     };
-    let open = candidates
+    let with_room = candidates
         .into_iter()
         .map(|index| (index, &servers[index]))
         .filter(|(_, server)| server.has_room(now, band));
-    open.map(|(index, server)| (index, cost(server)))
-        .min_by(|(_, one), (_, other)| one.total_cmp(other))
+    with_room
+        .map(|(index, server)| (index, cost(server)))
+        .min_by(|(_, a), (_, b)| a.total_cmp(b))
         .map(|(index, _)| index)
 }
