--- a/src/policy/estimate.rs
+++ b/src/policy/estimate.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 /// Stages of a single answer; each later stage is twice as long as the one before.
-const EXACT_STAGES: usize = 16;
+const SINGLE_ANSWER_STAGES: usize = 16;
 /// Stages per class.
-const STAGE_COUNT: usize = EXACT_STAGES + 12;
+const STAGE_COUNT: usize = SINGLE_ANSWER_STAGES + 12;
 /// Programs per histogram. The last two histograms are kept, so that older programs fade out.
 const PROGRAMS_PER_HISTOGRAM: u64 = 400;
 /// Upper bound of the histograms, in milliseconds.
@@ -19,11 +19,11 @@
 const EWMA_WEIGHT: f64 = 0.05;
 
 fn stage(answers: usize) -> usize {
-    if answers < EXACT_STAGES {
+    if answers < SINGLE_ANSWER_STAGES {
         return answers;
     }
-    let doublings = (answers / EXACT_STAGES).ilog2() as usize;
-    (EXACT_STAGES + doublings).min(STAGE_COUNT - 1)
+    let doublings = (answers / SINGLE_ANSWER_STAGES).ilog2() as usize;
+    (SINGLE_ANSWER_STAGES + doublings).min(STAGE_COUNT - 1)
 }
 
 /// Time and work that a program has spent so far.
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -19,10 +19,10 @@
 /// First ejection; doubled with each further failure in a row.
 const EJECTION_TIME: Duration = Duration::from_millis(500);
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(15);
-/// A first token later than this many times its expected time, plus [`QUEUEING_MARGIN_MS`], means
-/// that the server queues calls internally.
-const QUEUEING_RATIO: f64 = 4.0;
-const QUEUEING_MARGIN_MS: f64 = 800.0;
+/// A first token later than this many times its expected time, plus the margin below, means that
+/// the server queues calls internally.
+const FIRST_TOKEN_QUEUEING_RATIO: f64 = 4.0;
+const FIRST_TOKEN_QUEUEING_MARGIN_MS: f64 = 800.0;
 
 #[derive(Debug)]
 struct InFlight {
@@ -133,7 +133,9 @@
             return;
         }
         let expected_ms = uncached_tokens * pace.prefill_ms() * self.slowdown.get().max(1.0);
-        if outcome.first_ms > QUEUEING_RATIO * expected_ms + QUEUEING_MARGIN_MS {
+        if outcome.first_ms
+            > FIRST_TOKEN_QUEUEING_RATIO * expected_ms + FIRST_TOKEN_QUEUEING_MARGIN_MS
+        {
             self.max_window = (self.max_window * 0.97).min(mean_running).max(MIN_WINDOW);
         } else {
             self.max_window += 4.0 / self.max_window;
--- a/src/policy/window.rs
+++ b/src/policy/window.rs
@@ -31,7 +31,7 @@
 /// Bonus of a server to which the sending VM probably has an open connection, as a fraction of its
 /// window. Must outweigh a difference of two requests in load.
 const OPEN_CONNECTION_BONUS: f64 = 0.4;
-/// Less than the keep-alive timeout of the servers.
+/// How long a connection is assumed to stay open; below the keep-alive timeout of the servers.
 const CONNECTION_IDLE_TIME: Duration = Duration::from_secs(3);
 /// Requests sent to a server beyond its slots, so that a freed slot is refilled without a round
 /// trip.
