--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -4,9 +4,9 @@
 //! server only as many requests as fit its concurrency window, keeps the others in a priority
 //! queue, and grants the first of them when a slot frees up.
 
-use super::backlog::{MAX_SCANNED, QueuedRequest, ServicePool};
 use super::prefix::Part;
 use super::queue::{Band, Prioritized};
+use super::service_pool::{MAX_SCANNED, QueuedRequest, ServicePool};
 use super::window::{mean_error_rate, record_latency};
 use crate::id::Permit;
 use serde::{Deserialize, Serialize};
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -5,30 +5,30 @@
 
 pub mod admit;
 pub mod allowance;
-pub mod ask;
-mod backlog;
 pub mod cache;
 pub mod candidates;
 pub mod cells;
 pub mod copies;
 pub mod dispatch;
 pub mod estimate;
-mod flow;
 pub mod forecast;
+mod grant_rate;
 pub mod limit;
 pub mod outage;
 pub mod pace;
 pub mod pool;
 pub mod prefix;
+mod priority;
 mod programs;
 mod queue;
 pub mod quota;
 pub mod relay;
+pub mod request;
 mod server;
+mod service_pool;
 mod slack;
-mod standing;
 pub mod trust;
 mod window;
 
-pub use ask::{Action, Ask, Outcome};
 pub use pool::Pool;
+pub use request::{Action, Ask, Outcome};
--- a/src/policy/pool.rs
+++ b/src/policy/pool.rs
@@ -1,8 +1,8 @@
 //! The call queue of a pool, and the choice of a server for each call.
 
-use super::ask::{Action, Ask, Outcome};
 use super::pace::{Pace, Rates};
 use super::queue::{Band, Queue};
+use super::request::{Action, Ask, Outcome};
 use super::server::Server;
 use super::slack::QueuedCall;
 use crate::code::{Code, Failure};
--- a/src/policy/programs.rs
+++ b/src/policy/programs.rs
@@ -6,7 +6,7 @@
 //! servers.
 
 use super::dispatch::Ask;
-use super::standing::Priority;
+use super::priority::Priority;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tokio::time::Instant;
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -1,8 +1,8 @@
 //! The concurrency window, speed and cached programs of one server of a pool.
 
-use super::ask::Outcome;
 use super::cache::CacheEstimate;
 use super::pace::{Pace, Ratio};
+use super::request::Outcome;
 use crate::id::{Permit, Program, Server as ServerName};
 use std::collections::HashMap;
 use std::time::Duration;
--- a/src/policy/backlog.rs
+++ b/src/policy/service_pool.rs
@@ -2,10 +2,10 @@
 
 use super::candidates::Candidates;
 use super::dispatch::{Ask, Crowd, Description};
-use super::flow::GrantRate;
+use super::grant_rate::GrantRate;
+use super::priority::Priority;
 use super::programs::Programs;
 use super::queue::{Band, Prioritized, Queue};
-use super::standing::Priority;
 use super::window::{Server, choose};
 use crate::id::Permit;
 use std::collections::HashMap;
--- a/src/policy/slack.rs
+++ b/src/policy/slack.rs
@@ -1,7 +1,7 @@
 //! Priority of a queued call, by the slack of its program relative to the remaining time.
 
-use super::ask::Ask;
 use super::queue::{Band, Prioritized};
+use super::request::Ask;
 
 /// Margin for the estimate, as a fraction of the remaining time, before a call counts as late.
 const LATE_TOLERANCE: f64 = 0.5;
