--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -8,15 +8,15 @@
 use tokio::time::Instant;
 use vanillatrail::id::{Permit, Program, Server, Shard, Tokens};
 use vanillatrail::policy::admit::Gate;
-use vanillatrail::policy::{Action, Ask, Pool};
+use vanillatrail::policy::{Action, Pool, Request};
 
 const SERVERS: [usize; 3] = [10, 100, 3_600];
 const PROGRAMS: [u64; 3] = [100, 10_000, 87_000];
 /// Enough calls to fill every window.
 const PER_SERVER: u64 = 64;
 
-fn ask(program: u64) -> Ask {
-    Ask {
+fn ask(program: u64) -> Request {
+    Request {
         program: Program::new(Shard(0), u128::from(program)),
         class: None,
         slack_ms: i64::try_from(program % 60_000).unwrap_or(0),
@@ -34,20 +34,20 @@
     let mut pool = Pool::default();
     let name = |index| format!("server-{index}").parse().expect("a plain name");
     let names: Vec<Server> = (0..servers).map(name).collect();
-    pool.configure(&names);
+    pool.set_servers(&names);
     let filling = servers as u64 * PER_SERVER;
     let mut permit = 0;
     while pool.load().0 == 0 && permit < filling {
         // `load` is linear in the servers: it is looked at once for each batch of calls.
         for _ in 0..servers {
             permit += 1;
-            pool.ask(now, Permit(permit), ask(permit));
+            pool.request(now, Permit(permit), ask(permit));
         }
     }
     let missing = waiting.saturating_sub(pool.load().0 as u64);
     for _ in 0..missing {
         permit += 1;
-        pool.ask(now, Permit(permit), ask(permit));
+        pool.request(now, Permit(permit), ask(permit));
     }
     pool
 }
@@ -65,9 +65,9 @@
             group.bench_function(id, |bencher| {
                 bencher.iter(|| {
                     next += 1;
-                    black_box(pool.ask(now, Permit(next), ask(next)));
+                    black_box(pool.request(now, Permit(next), ask(next)));
                     let done = running.pop().expect("each end lets another call start");
-                    let actions = pool.done(now, done, None);
+                    let actions = pool.finish(now, done, None);
                     running.extend(actions.iter().filter_map(|action| match action {
                         Action::Grant(permit, _) => Some(*permit),
                         _ => None,
--- a/benches/policy/ours.rs
+++ b/benches/policy/ours.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 use vanillatrail::id::{Permit, Program, Server, Shard, Tokens};
 use vanillatrail::policy::forecast::{Forecast, Start, Urgency};
-use vanillatrail::policy::{Action, Ask, Outcome, Pool};
+use vanillatrail::policy::{self, Action, Outcome, Pool};
 
 /// Parts that can be switched off to see what each buys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,9 +55,9 @@
 fn pool(servers: &[Server], without: Option<Part>) -> Pool {
     let mut pool = Pool::default();
     if without != Some(Part::Exports) {
-        pool = pool.with_exports();
+        pool = pool.with_cache_export();
     }
-    pool.configure(servers);
+    pool.set_servers(servers);
     pool
 }
 
@@ -148,7 +148,7 @@
         let name = |engine: &usize| self.servers[*engine].clone();
         let engines = self.engines.get(&request.program);
         let class = self.scenario.classes[request.class].name;
-        let ask = Ask {
+        let ask = policy::Request {
             program: id(request.program),
             class: class.parse().ok(),
             slack_ms: urgency.slack_ms,
@@ -159,7 +159,7 @@
             avoid: request.avoid.iter().map(name).collect(),
             zone: None,
         };
-        let actions = self.pool.ask(Instant::now(), Permit(request.id), ask);
+        let actions = self.pool.request(Instant::now(), Permit(request.id), ask);
         self.orders(actions)
     }
 
@@ -186,18 +186,18 @@
             cached: Tokens(report.cached),
             completion: Tokens(report.generated),
         };
-        let actions = self.pool.done(now, Permit(report.id), Some(&outcome));
+        let actions = self.pool.finish(now, Permit(report.id), Some(&outcome));
         self.orders(actions)
     }
 
     fn pause(&mut self, program: usize) -> Vec<Order> {
         let pause = self.forecast.pause(id(program));
-        let actions = self.pool.pause(Instant::now(), id(program), pause);
+        let actions = self.pool.program_paused(Instant::now(), id(program), pause);
         self.orders(actions)
     }
 
     fn end(&mut self, program: usize, whole: bool) -> Vec<Order> {
-        self.pool.ended(id(program));
+        self.pool.program_ended(id(program));
         self.forecast.ended(Instant::now(), id(program), whole);
         self.started.remove(&program);
         let engines = self.engines.remove(&program).unwrap_or_default();
@@ -209,7 +209,7 @@
     }
 
     fn dropped(&mut self, engine: usize, program: usize) {
-        self.pool.dropped(&self.servers[engine], id(program));
+        self.pool.cache_evicted(&self.servers[engine], id(program));
     }
 
     fn lose(&mut self) {
--- a/examples/policy.rs
+++ b/examples/policy.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::id::{Permit, Program, Server, Shard, Tokens};
-use vanillatrail::policy::{Action, Ask, Outcome, Pool};
+use vanillatrail::policy::{Action, Outcome, Pool, Request};
 
-fn ask(program: u128, slack_ms: i64) -> Ask {
-    Ask {
+fn ask(program: u128, slack_ms: i64) -> Request {
+    Request {
         program: Program::new(Shard(0), program),
         class: None,
         slack_ms,
@@ -35,14 +35,14 @@
     let engines: Vec<Server> = ["engine-1", "engine-2"]
         .map(|name| name.parse().expect("a name"))
         .to_vec();
-    pool.configure(&engines);
+    pool.set_servers(&engines);
 
     // More calls than both windows hold, with less slack the later they come.
     let mut running = Vec::new();
     for number in 0_u32..200 {
         let slack_ms = 10_000 - 40 * i64::from(number);
         let call = ask(u128::from(number), slack_ms);
-        let actions = pool.ask(now, Permit(u64::from(number)), call);
+        let actions = pool.request(now, Permit(u64::from(number)), call);
         running.extend(granted(&actions));
     }
     let (waiting, _) = pool.load();
@@ -58,7 +58,7 @@
         completion: Tokens(50),
         ..Outcome::default()
     };
-    let next = granted(&pool.done(now, permit, Some(&outcome)));
+    let next = granted(&pool.finish(now, permit, Some(&outcome)));
     println!(
         "{server} is done with call {permit}; next is call {}",
         next[0].0
@@ -68,9 +68,9 @@
         "a late call with little slack goes first"
     );
 
-    pool.leave(&engines[0]);
+    pool.drain_server(&engines[0]);
     for (permit, _) in running.into_iter().chain(next) {
-        for (_, server) in granted(&pool.done(now, permit, Some(&outcome))) {
+        for (_, server) in granted(&pool.finish(now, permit, Some(&outcome))) {
             assert_eq!(server, engines[1]);
         }
     }
--- a/src/dispatch/client.rs
+++ b/src/dispatch/client.rs
@@ -6,7 +6,7 @@
 use crate::id::Vm;
 use crate::member::View;
 use crate::peer;
-use crate::policy::{Ask, Outcome};
+use crate::policy::{Outcome, Request};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,7 +43,7 @@
 
 impl Client {
     /// Waits for a permit. The caller bounds the wait by dropping the future.
-    pub(crate) async fn acquire(&self, key: &Key, ask: &Ask) -> Result<Lease, Failure> {
+    pub(crate) async fn acquire(&self, key: &Key, ask: &Request) -> Result<Lease, Failure> {
         loop {
             let first = self
                 .view
@@ -70,7 +70,7 @@
         }
     }
 
-    async fn acquire_here(&self, key: &Key, ask: &Ask) -> Result<Lease, Failure> {
+    async fn acquire_here(&self, key: &Key, ask: &Request) -> Result<Lease, Failure> {
         let (reply, wait) = oneshot::channel();
         let command = Command::Acquire {
             key: key.clone(),
--- a/src/dispatch/duty.rs
+++ b/src/dispatch/duty.rs
@@ -6,7 +6,7 @@
 use crate::id::{Permit, Server};
 use crate::member::View;
 use crate::policy::pace::Rates;
-use crate::policy::{Action, Ask, Outcome, Pool};
+use crate::policy::{Action, Outcome, Pool, Request};
 use crate::telemetry::event;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     /// A call waits for a server.
     Acquire {
         key: Key,
-        ask: Box<Ask>,
+        ask: Box<Request>,
         reply: oneshot::Sender<Result<Grant, Failure>>,
     },
     /// A call is over, or its permit is given back unused.
@@ -76,7 +76,7 @@
                                     .is_ok()
                             });
                     if !sent {
-                        actions.extend(self.pool.done(now, permit, None));
+                        actions.extend(self.pool.finish(now, permit, None));
                     }
                 }
             }
@@ -92,7 +92,7 @@
         // A server that is leaving gets nothing new; the calls that run on it are left to end.
         let names = self.servers.iter().map(|engine| engine.name.clone());
         let names: Vec<_> = names.filter(|name| !view.leaving.contains(name)).collect();
-        self.pool.configure(&names);
+        self.pool.set_servers(&names);
         self.rates = self.pool.rates();
     }
 
@@ -103,7 +103,7 @@
         let closed: Vec<Permit> = closed.map(|(permit, _)| *permit).collect();
         for permit in closed {
             self.replies.remove(&permit);
-            let actions = self.pool.done(now, permit, None);
+            let actions = self.pool.finish(now, permit, None);
             self.carry_out(now, actions);
         }
         let actions = self.pool.grant(now);
@@ -203,7 +203,7 @@
                 let permit = Permit(self.last);
                 let queue = self.queues.entry(key).or_default();
                 queue.replies.insert(permit, reply);
-                let actions = queue.pool.ask(now, permit, *ask);
+                let actions = queue.pool.request(now, permit, *ask);
                 queue.carry_out(now, actions);
             }
             Command::Done {
@@ -217,7 +217,7 @@
                 if outcome.as_ref().is_some_and(|outcome| outcome.failed) {
                     event!(warn, "call_failed", pool = key, permit = permit);
                 }
-                let actions = queue.pool.done(now, permit, outcome.as_ref());
+                let actions = queue.pool.finish(now, permit, outcome.as_ref());
                 queue.carry_out(now, actions);
             }
             Command::Dump(reply) => {
@@ -231,7 +231,7 @@
             let (waiting, running) = queue.pool.load();
             (
                 key.to_string(),
-                json!({ "waiting": waiting, "running": running, "window": queue.pool.window() }),
+                json!({ "waiting": waiting, "running": running, "window": queue.pool.mean_window() }),
             )
         });
         dump.collect()
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -8,7 +8,7 @@
 use crate::id::Vm;
 use crate::member::{DATAGRAM, Sealer};
 use crate::policy::allowance::{Entry, Reservation};
-use crate::policy::dispatch::{Ask, Outcome};
+use crate::policy::dispatch::{Outcome, Request};
 use crate::telemetry::event;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -72,7 +72,7 @@
     Heard,
     /// Which server may a request go to? Answered when one has room.
     #[serde(rename = "p")]
-    Place(Ask),
+    Place(Request),
     /// Where is a turn?
     #[serde(rename = "t")]
     Locate {
--- a/src/gateway/queue/lease.rs
+++ b/src/gateway/queue/lease.rs
@@ -8,7 +8,7 @@
 use crate::gateway::queue::permit::{Held, Permit, Place, no_server, overloaded};
 use crate::gateway::{Gateway, peers};
 use crate::id::{self, rendezvous};
-use crate::policy::dispatch::{Ask, Outcome};
+use crate::policy::dispatch::{Outcome, Request};
 use crate::telemetry::event;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -105,7 +105,10 @@
     /// # Errors
     /// [`Code::NoServer`] where the service has no server, [`Code::Overloaded`] where no server will
     /// be free in time.
-    pub(crate) async fn permit_shared(self: &Rc<Self>, ask: &mut Ask) -> Result<Permit, Failure> {
+    pub(crate) async fn permit_shared(
+        self: &Rc<Self>,
+        ask: &mut Request,
+    ) -> Result<Permit, Failure> {
         for peer in self.holders(&ask.service) {
             for _ in 0..UNUSABLE {
                 match self.acquire(peer.address, ask).await {
@@ -123,7 +126,7 @@
     async fn acquire(
         self: &Rc<Self>,
         peer: SocketAddr,
-        ask: &Ask,
+        ask: &Request,
     ) -> Option<Result<Permit, Unusable>> {
         let number = self.peers.number();
         let place = Place::new(Rc::clone(self), Held::There(peer, number));
@@ -147,7 +150,7 @@
     }
 
     /// Leases a place to another VM, as soon as there is one.
-    pub(crate) async fn lease_to(self: &Rc<Self>, asked: Asked, ask: Ask) -> Reply {
+    pub(crate) async fn lease_to(self: &Rc<Self>, asked: Asked, ask: Request) -> Reply {
         if let Some(server) = self.leases.server(&asked) {
             // The answer before was lost.
             return Reply::Placed(server);
@@ -156,7 +159,7 @@
             // It has just started: the VM that comes next knows the servers.
             return Reply::NotOwner;
         }
-        let limit = Duration::from_millis(ask.limit_ms);
+        let limit = Duration::from_millis(ask.max_wait_ms);
         let until = Instant::now() + limit + OVERDUE;
         let (cancel, cancelled) = oneshot::channel();
         self.leases.waiting.borrow_mut().insert(asked, cancel);
--- a/src/gateway/queue/permit.rs
+++ b/src/gateway/queue/permit.rs
@@ -7,7 +7,9 @@
 use crate::gateway::world::state::World;
 use crate::gateway::world::table::Table;
 use crate::id;
-use crate::policy::dispatch::{Ask, Description, Dispatcher, GIVEN_UP, Outcome, Ticked, Verdict};
+use crate::policy::dispatch::{
+    Description, Dispatcher, LATE_REQUEST_RETRY_AFTER, Outcome, Placement, Request, Tick,
+};
 use crate::telemetry::event;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -40,8 +42,8 @@
         service: entry.service.as_str().into(),
         zone: entry.zone.as_str().into(),
         slots: entry.slots,
-        memory_tokens: engine.map_or(0, |engine| engine.memory_tokens),
-        leaving: entry.draining,
+        cache_tokens: engine.map_or(0, |engine| engine.memory_tokens),
+        draining: entry.draining,
     }
 }
 
@@ -49,7 +51,7 @@
     /// Takes in the directory, and what the configuration says of its services.
     pub(crate) fn configure(&self, directory: &Directory, table: Option<&Table>) {
         let descriptions = directory.iter().map(|entry| describe(entry, table));
-        self.dispatcher.borrow_mut().configure(descriptions);
+        self.dispatcher.borrow_mut().set_servers(descriptions);
         let known = directory
             .iter()
             .map(|entry| (Arc::clone(&entry.name), Arc::clone(entry)));
@@ -65,16 +67,16 @@
             let before = known.remove(change.name());
             let Change::Set(entry) = change else {
                 if let Some(before) = before {
-                    dispatcher.remove(&before.service, &before.id);
+                    dispatcher.remove_server(&before.service, &before.id);
                 }
                 continue;
             };
             let same =
                 |before: &Arc<Entry>| before.id == entry.id && before.service == entry.service;
             if let Some(before) = before.filter(|before| !same(before)) {
-                dispatcher.remove(&before.service, &before.id);
+                dispatcher.remove_server(&before.service, &before.id);
             }
-            dispatcher.set(describe(entry, table));
+            dispatcher.update_server(describe(entry, table));
             known.insert(Arc::clone(&entry.name), Arc::clone(entry));
         }
         drop((known, dispatcher));
@@ -106,37 +108,37 @@
     fn done(&self, number: id::Permit, outcome: Outcome) {
         self.dispatcher
             .borrow_mut()
-            .done(Instant::now(), number, outcome);
+            .finish(Instant::now(), number, outcome);
         self.waiters.borrow_mut().remove(&number);
         self.grant();
     }
 
     /// Tells of the services for which requests wait.
     pub(crate) fn log(&self) {
-        for crowd in self.dispatcher.borrow().loads(Instant::now()) {
+        for crowd in self.dispatcher.borrow().queue_stats(Instant::now()) {
             event!(
                 info,
                 "requests_wait",
                 service = crowd.service,
-                in_time = crowd.in_time,
+                in_time = crowd.on_time,
                 late = crowd.late,
-                past = crowd.past,
+                past = crowd.overdue,
                 running = crowd.running,
-                places = crowd.places,
-                per_second = crowd.per_second,
-                programs = crowd.programs,
-                needs = format!("{:.2?}", crowd.needs)
+                places = crowd.usable_slots,
+                per_second = crowd.grants_per_second,
+                programs = crowd.admitted_programs,
+                needs = format!("{:.2?}", crowd.slots_per_program)
             );
         }
     }
 
     /// Grants what a rested server can take again, and gives up what has waited in vain.
     pub(crate) fn tick(&self) {
-        let Ticked { granted, refused } = self.dispatcher.borrow_mut().tick(Instant::now());
+        let Tick { granted, timed_out } = self.dispatcher.borrow_mut().tick(Instant::now());
         for (permit, server) in granted {
             self.tell(permit, Some(server));
         }
-        for permit in refused {
+        for permit in timed_out {
             self.tell(permit, None);
         }
     }
@@ -207,7 +209,7 @@
     /// # Errors
     /// [`Code::NoServer`] where the service has no server, [`Code::Overloaded`] where no server will
     /// be free in time.
-    pub(crate) async fn permit(self: &Rc<Self>, ask: Ask) -> Result<Permit, Failure> {
+    pub(crate) async fn permit(self: &Rc<Self>, ask: Request) -> Result<Permit, Failure> {
         loop {
             let permit = id::Permit(self.desk.numbers.get());
             self.desk.numbers.set(permit.0 + 1);
@@ -216,17 +218,17 @@
                 .desk
                 .dispatcher
                 .borrow_mut()
-                .ask(now, permit, ask.clone());
+                .request(now, permit, ask.clone());
             let place = Place::new(Rc::clone(self), Held::Here(permit));
             let server = match verdict {
-                Verdict::Granted(server) => server,
-                Verdict::NoServer => return Err(no_server()),
-                Verdict::Refused(back) => return Err(overloaded(back)),
-                Verdict::Waiting => {
+                Placement::Granted(server) => server,
+                Placement::NoServer => return Err(no_server()),
+                Placement::Refused(back) => return Err(overloaded(back)),
+                Placement::Waiting => {
                     let (waiter, granted) = oneshot::channel();
                     self.desk.waiters.borrow_mut().insert(permit, waiter);
                     let granted = granted.await.map_err(|_| no_server())?;
-                    granted.ok_or_else(|| overloaded(GIVEN_UP))?
+                    granted.ok_or_else(|| overloaded(LATE_REQUEST_RETRY_AFTER))?
                 }
             };
             let known = self.world.borrow().server(&server);
--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -13,7 +13,7 @@
 use crate::gateway::queue::permit::Permit;
 use crate::gateway::server::attempt::{Answer, Attempt, attempt};
 use crate::platform::headers::Meta;
-use crate::policy::dispatch::{Ask, Outcome};
+use crate::policy::dispatch::{self, Outcome};
 use crate::policy::quota;
 use crate::telemetry::event;
 use admit::admit;
@@ -200,11 +200,11 @@
     Ok(())
 }
 
-fn ask(job: &Job, avoid: &[Arc<str>]) -> Ask {
+fn ask(job: &Job, avoid: &[Arc<str>]) -> dispatch::Request {
     let age_ms = i64::try_from(job.age_ms()).unwrap_or(i64::MAX);
     let objective_ms = i64::try_from(job.route.objective.as_millis()).unwrap_or(i64::MAX);
     let allowance = job.allowance.borrow();
-    Ask {
+    dispatch::Request {
         service: Arc::clone(&job.service),
         zone: job.gateway.zone(),
         vm: job.gateway.number(),
@@ -212,8 +212,8 @@
         program: job.meta.program.as_ref().map(|program| hash(program)),
         turns: allowance.as_ref().map_or(0, |allowance| allowance.turns),
         left_ms: job.meta.finish_ms.unwrap_or(objective_ms) - age_ms,
-        limit_ms: u64::try_from(job.left().as_millis()).unwrap_or(u64::MAX),
-        line: job.meta.line.as_ref().map(|line| hash(line)),
+        max_wait_ms: u64::try_from(job.left().as_millis()).unwrap_or(u64::MAX),
+        session: job.meta.line.as_ref().map(|line| hash(line)),
         prompt: job.meta.prompt.clone(),
         avoid: avoid.to_vec(),
     }
--- a/src/owner/model.rs
+++ b/src/owner/model.rs
@@ -7,7 +7,7 @@
 use crate::dispatch::{Key, Lease};
 use crate::id::{Server, Tokens};
 use crate::journal::Body;
-use crate::policy::{Ask, Outcome};
+use crate::policy::{Outcome, Request};
 use crate::program::{Answer, Message, Prompt, Usage};
 use crate::telemetry::event;
 use std::cell::Cell;
@@ -109,7 +109,7 @@
         prompt: &Prompt,
         model: &crate::id::Model,
         avoid: &[Server],
-    ) -> Result<(Tokens, Ask, backend::Chat), Failure> {
+    ) -> Result<(Tokens, Request, backend::Chat), Failure> {
         let id = work.run.program;
         let shards = self.shards.borrow();
         let held = shards
@@ -125,7 +125,7 @@
             .collect();
         let urgency = self.urgency(program, &work.class);
         let bytes: usize = messages.iter().map(|message| message.content.len()).sum();
-        let ask = Ask {
+        let ask = Request {
             program: id,
             class: Some(program.class.clone()),
             slack_ms: urgency.slack_ms,
--- a/src/owner/run.rs
+++ b/src/owner/run.rs
@@ -8,7 +8,7 @@
 use crate::dispatch::{Key, Lease};
 use crate::id::{Call, Digest, Epoch, Program};
 use crate::journal::Body;
-use crate::policy::Ask;
+use crate::policy;
 use crate::program::{Answer, Message, Request};
 use crate::telemetry::event;
 use serde_json::{Value, json};
@@ -232,7 +232,12 @@
         ))
     }
 
-    pub(super) async fn permit(&self, work: &Work, key: &Key, ask: &Ask) -> Result<Lease, Failure> {
+    pub(super) async fn permit(
+        &self,
+        work: &Work,
+        key: &Key,
+        ask: &policy::Request,
+    ) -> Result<Lease, Failure> {
         tokio::select! {
             lease = self.context.dispatch.acquire(key, ask) => lease,
             () = work.run.cancel.cancelled() => Err(self.cancelled(work)),
--- a/src/owner/service.rs
+++ b/src/owner/service.rs
@@ -10,7 +10,7 @@
 use crate::id::{Program, Tokens};
 use crate::journal::Body;
 use crate::ownership::Verdict;
-use crate::policy::{Ask, Outcome};
+use crate::policy::{Outcome, Request};
 use crate::program::{self, Answer, Invocation};
 use std::rc::Rc;
 use std::time::Duration;
@@ -201,7 +201,7 @@
         held.table.get(id)?.afford(Tokens(0), 1)
     }
 
-    fn service_ask(&self, work: &Work) -> Result<Ask, Failure> {
+    fn service_ask(&self, work: &Work) -> Result<Request, Failure> {
         let id = work.run.program;
         let shards = self.shards.borrow();
         let held = shards
@@ -209,7 +209,7 @@
             .ok_or_else(|| not_owner(id.shard()))?;
         let program: &program::Program = held.table.get(id)?;
         let urgency = self.urgency(program, &work.class);
-        Ok(Ask {
+        Ok(Request {
             program: id,
             class: Some(program.class.clone()),
             slack_ms: urgency.slack_ms,
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -6,7 +6,7 @@
 use crate::dispatch::{Grant, Key};
 use crate::id::Permit;
 use crate::owner::{Frame, Request};
-use crate::policy::{Ask, Outcome};
+use crate::policy::{self, Outcome};
 use jsonrpsee::core::client::{ClientT, Subscription, SubscriptionClientT};
 use jsonrpsee::rpc_params;
 use jsonrpsee::ws_client::{PingConfig, WsClient, WsClientBuilder};
@@ -68,7 +68,7 @@
         &self,
         to: SocketAddr,
         key: &Key,
-        ask: &Ask,
+        ask: &policy::Request,
     ) -> Result<(Result<Grant, Failure>, PermitStream), Lost> {
         let client = self.client(to).await?;
         let params = rpc_params![&self.key, key, ask];
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -168,7 +168,7 @@
     pending: PendingSubscriptionSink,
     service: &Service,
 ) -> Result<(), SubscriptionError> {
-    let (key, pool, ask): (String, Key, policy::Ask) = match params.parse() {
+    let (key, pool, ask): (String, Key, policy::Request) = match params.parse() {
         Ok(parsed) => parsed,
         Err(error) => {
             pending.reject(error).await;
--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -4,7 +4,7 @@
 //! Above a limit, only the servers that recently ran requests of the VM or read parts of the prompt
 //! are scored, plus a random sample of the zone and of all servers.
 
-use super::dispatch::Ask;
+use super::dispatch::Request;
 use super::prefix::Part;
 use crate::id::Permit;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -70,12 +70,12 @@
 
     /// Index of a server.
     #[must_use]
-    pub fn find(&self, id: &str) -> Option<usize> {
+    pub fn index_of(&self, id: &str) -> Option<usize> {
         self.index_by_id.get(id).copied()
     }
 
     /// Records that a VM used a server.
-    pub fn used(&mut self, vm: u64, server: &Arc<str>) {
+    pub fn record_use(&mut self, vm: u64, server: &Arc<str>) {
         if self.index_by_id.len() > MAX_UNSAMPLED_SERVERS {
             push_recent(
                 self.by_vm.entry(vm).or_default(),
@@ -86,7 +86,7 @@
     }
 
     /// Records that a server read a prompt.
-    pub fn read(&mut self, prompt: &[Part], server: &Arc<str>) {
+    pub fn record_prompt(&mut self, prompt: &[Part], server: &Arc<str>) {
         if self.index_by_id.len() <= MAX_UNSAMPLED_SERVERS {
             return;
         }
@@ -105,10 +105,10 @@
     /// Indices of the servers to score for a request, sorted; all servers if there are few.
     /// `session_server` is the server of the session's previous turn.
     #[must_use]
-    pub fn of(
+    pub fn select(
         &self,
         permit: Permit,
-        request: &Ask,
+        request: &Request,
         session_server: Option<&Arc<str>>,
     ) -> Vec<usize> {
         let count = self.index_by_id.len();
@@ -123,7 +123,7 @@
         let recent = vm_servers
             .chain(part_servers.flatten())
             .chain(session_server);
-        let mut selected: HashSet<usize> = recent.filter_map(|id| self.find(id)).collect();
+        let mut selected: HashSet<usize> = recent.filter_map(|id| self.index_of(id)).collect();
         // Seeded by the request, so that a replay repeats.
         let sample = |salt: u64, count: usize| {
             let seed = permit.0.wrapping_mul(31).wrapping_add(salt);
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -19,7 +19,7 @@
 const MAX_SESSIONS: usize = 50_000;
 const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
 /// Retry-After of a request that was dropped from the queue by [`Dispatcher::tick`].
-pub const GIVEN_UP: Duration = Duration::from_millis(900);
+pub const LATE_REQUEST_RETRY_AFTER: Duration = Duration::from_millis(900);
 /// Longest queue time of a request whose program is late or was not admitted. Short, so that its
 /// caller can retry in time.
 const MAX_LATE_WAIT: Duration = Duration::from_millis(700);
@@ -38,15 +38,15 @@
     /// Requests that it runs concurrently.
     pub slots: usize,
     /// Capacity of its prefix cache in tokens; 0 if it has none or it is unknown.
-    pub memory_tokens: u64,
+    pub cache_tokens: u64,
     /// Whether it is draining and must get no new requests.
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// A request for a slot on a server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ask {
+pub struct Request {
     /// Service that has to run it.
     pub service: Arc<str>,
     /// Availability zone of the VM that sends it.
@@ -62,18 +62,20 @@
     /// Milliseconds until the deadline of its program; negative if the deadline has passed.
     pub left_ms: i64,
     /// Maximum time in the queue, in milliseconds.
-    pub limit_ms: u64,
+    #[serde(rename = "limit_ms")]
+    pub max_wait_ms: u64,
     /// Hash of its session, a series of turns whose prompts extend each other.
-    pub line: Option<u64>,
+    #[serde(rename = "line")]
+    pub session: Option<u64>,
     /// Parts of its prompt in order, for prefix caching; empty if unknown.
     pub prompt: Vec<Part>,
     /// Servers on which it has already failed.
     pub avoid: Vec<Arc<str>>,
 }
 
-impl Ask {
+impl Request {
     pub(super) fn max_wait(&self) -> Duration {
-        Duration::from_millis(self.limit_ms)
+        Duration::from_millis(self.max_wait_ms)
     }
 
     /// Maximum queue time if its program is late or was not admitted.
@@ -128,9 +130,9 @@
     running_at_start: usize,
 }
 
-/// Result of [`Dispatcher::ask`].
+/// Result of [`Dispatcher::request`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Placement {
     /// The request may be sent to this server.
     Granted(Arc<str>),
     /// The request is queued; [`Dispatcher::grant`] or [`Dispatcher::tick`] grants it later.
@@ -144,34 +146,34 @@
 
 /// Result of [`Dispatcher::tick`].
 #[derive(Debug, Default)]
-pub struct Ticked {
+pub struct Tick {
     /// Granted requests and their servers.
     pub granted: Vec<(Permit, Arc<str>)>,
     /// Requests dropped from the queue. They were not sent.
-    pub refused: Vec<Permit>,
+    pub timed_out: Vec<Permit>,
 }
 
 /// Queue and load of a service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Crowd<'a> {
+pub struct Stats<'a> {
     /// Name of the service.
     pub service: &'a str,
     /// Queued requests of admitted programs that have not missed their deadline.
-    pub in_time: usize,
+    pub on_time: usize,
     /// Queued requests of other programs that can finish within twice their target time.
     pub late: usize,
     /// Queued requests of programs past twice their target time.
-    pub past: usize,
+    pub overdue: usize,
     /// Slots in use by requests of this dispatcher.
     pub running: usize,
     /// Slots of usable servers, without those taken by other senders.
-    pub places: f64,
+    pub usable_slots: f64,
     /// Grants per second; 0 if there were too few to measure.
-    pub per_second: f64,
+    pub grants_per_second: f64,
     /// Admitted programs.
-    pub programs: usize,
+    pub admitted_programs: usize,
     /// Average slots in use by one program, by rank.
-    pub needs: &'a BTreeMap<u8, f64>,
+    pub slots_per_program: &'a BTreeMap<u8, f64>,
 }
 
 /// Queues and server windows of all services.
@@ -189,7 +191,7 @@
 
 impl Dispatcher {
     /// Replaces the set of servers. In-flight requests of removed servers continue.
-    pub fn configure(&mut self, servers: impl IntoIterator<Item = Description>) {
+    pub fn set_servers(&mut self, servers: impl IntoIterator<Item = Description>) {
         let mut by_service: HashMap<Arc<str>, HashMap<Arc<str>, Description>> = HashMap::new();
         for server in servers {
             let service = by_service.entry(Arc::clone(&server.service)).or_default();
@@ -207,7 +209,7 @@
     }
 
     /// Adds or updates a server.
-    pub fn set(&mut self, info: Description) {
+    pub fn update_server(&mut self, info: Description) {
         if !self.pools.contains_key(&info.service) {
             self.pools
                 .insert(Arc::clone(&info.service), ServicePool::default());
@@ -218,20 +220,20 @@
     }
 
     /// Removes a server. Its in-flight requests continue.
-    pub fn remove(&mut self, service: &str, id: &str) {
+    pub fn remove_server(&mut self, service: &str, id: &str) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.remove_server(id);
         }
     }
 
     /// Grants, queues or refuses a request.
-    pub fn ask(&mut self, now: Instant, permit: Permit, request: Ask) -> Verdict {
+    pub fn request(&mut self, now: Instant, permit: Permit, request: Request) -> Placement {
         let now_ms = self.now_ms(now);
         let Some(pool) = self.pools.get_mut(&request.service) else {
-            return Verdict::NoServer;
+            return Placement::NoServer;
         };
-        if pool.servers.iter().all(|server| server.info.leaving) {
-            return Verdict::NoServer;
+        if pool.servers.iter().all(|server| server.info.draining) {
+            return Placement::NoServer;
         }
         let capacity = pool.capacity(now);
         let priority = pool
@@ -240,25 +242,25 @@
         let (band, _) = priority.band(now_ms);
         let queued_ahead = pool.queue.queued_ahead(band);
         let session_server = request
-            .line
+            .session
             .and_then(|session| self.session_servers.get(&session));
         if queued_ahead == 0
             && let Some(index) = pool.choose(now, permit, &request, band, session_server)
         {
-            return Verdict::Granted(self.start(now, permit, &request, index));
+            return Placement::Granted(self.start(now, permit, &request, index));
         }
         if let Some(retry_after) = pool.overload_retry_after(now, band, &request) {
             pool.request_ended(now, request.program, Duration::ZERO);
-            return Verdict::Refused(retry_after);
+            return Placement::Refused(retry_after);
         }
         self.queued.insert(permit, Arc::clone(&request.service));
         pool.queue
             .push(now_ms, permit, QueuedRequest { request, priority });
-        Verdict::Waiting
+        Placement::Waiting
     }
 
     /// Grants queued requests that fit, and drops late ones that have exceeded their maximum wait.
-    pub fn tick(&mut self, now: Instant) -> Ticked {
+    pub fn tick(&mut self, now: Instant) -> Tick {
         let now_ms = self.now_ms(now);
         if self.last_sweep.is_none_or(|at| at + SWEEP_INTERVAL <= now) {
             self.last_sweep = Some(now);
@@ -267,7 +269,7 @@
             }
         }
         let granted = self.grant(now);
-        let mut refused = Vec::new();
+        let mut timed_out = Vec::new();
         for pool in self.pools.values_mut() {
             for permit in pool
                 .queue
@@ -276,11 +278,11 @@
                 if let Some(queued) = pool.queue.remove(permit) {
                     pool.request_ended(now, queued.request.program, Duration::ZERO);
                     self.queued.remove(&permit);
-                    refused.push(permit);
+                    timed_out.push(permit);
                 }
             }
         }
-        Ticked { granted, refused }
+        Tick { granted, timed_out }
     }
 
     /// Grants queued requests that fit.
@@ -321,7 +323,7 @@
             }
             let session_server = queued
                 .request
-                .line
+                .session
                 .and_then(|session| self.session_servers.get(&session));
             let Some(index) = pool.choose(now, permit, &queued.request, band, session_server)
             else {
@@ -344,7 +346,7 @@
         }
     }
 
-    fn start(&mut self, now: Instant, permit: Permit, request: &Ask, index: usize) -> Arc<str> {
+    fn start(&mut self, now: Instant, permit: Permit, request: &Request, index: usize) -> Arc<str> {
         let pool = self
             .pools
             .get_mut(&request.service)
@@ -356,15 +358,15 @@
         let server = &mut pool.servers[index];
         server.in_flight += 1;
         server
-            .prefixes
-            .read(&request.prompt, server.info.memory_tokens);
+            .prefix_cache
+            .insert(&request.prompt, server.info.cache_tokens);
         let id = Arc::clone(&server.info.id);
-        pool.candidates.read(&request.prompt, &id);
+        pool.candidates.record_prompt(&request.prompt, &id);
         let request = InFlight {
             service: Arc::clone(&request.service),
             server: Arc::clone(&id),
             vm: request.vm,
-            session: request.line,
+            session: request.session,
             program: request.program,
             started_at: now,
             running_at_start: server.in_flight,
@@ -374,7 +376,7 @@
     }
 
     /// Ends a request, whether it was queued or running, and records its outcome.
-    pub fn done(&mut self, now: Instant, permit: Permit, outcome: Outcome) {
+    pub fn finish(&mut self, now: Instant, permit: Permit, outcome: Outcome) {
         if let Some(service) = self.queued.remove(&permit)
             && let Some(pool) = self.pools.get_mut(&service)
         {
@@ -390,7 +392,7 @@
         };
         let took = now.saturating_duration_since(request.started_at);
         pool.request_ended(now, request.program, took);
-        let Some(index) = pool.candidates.find(&request.server) else {
+        let Some(index) = pool.candidates.index_of(&request.server) else {
             return;
         };
         let mean_error_rate = (outcome == Outcome::Error).then(|| mean_error_rate(&pool.servers));
@@ -400,7 +402,7 @@
             Outcome::Done { took, work, load } => {
                 server.record_success();
                 server.record_connection(now, request.vm);
-                pool.candidates.used(request.vm, &request.server);
+                pool.candidates.record_use(request.vm, &request.server);
                 if let Some(load) = load {
                     server.record_load(load, request.running_at_start);
                 }
@@ -419,7 +421,7 @@
     }
 
     /// Load of the services that have queued requests.
-    pub fn loads(&self, now: Instant) -> impl Iterator<Item = Crowd<'_>> {
+    pub fn queue_stats(&self, now: Instant) -> impl Iterator<Item = Stats<'_>> {
         let pools = self.pools.iter();
         let with_queue = pools.filter(|(_, pool)| !pool.queue.is_empty());
         with_queue.map(move |(service, pool)| pool.queue_stats(now, service))
@@ -427,7 +429,7 @@
 
     /// Whether any request is queued.
     #[must_use]
-    pub fn is_waiting(&self) -> bool {
+    pub fn has_queued(&self) -> bool {
         !self.queued.is_empty()
     }
 
--- a/src/policy/estimate.rs
+++ b/src/policy/estimate.rs
@@ -30,13 +30,13 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use vanillatrail::policy::estimate::Track;
-/// let mut track = Track::default();
-/// track.answer(Duration::from_secs(2), 300.0);
-/// assert_eq!(track.answers(), 1);
+/// use vanillatrail::policy::estimate::Progress;
+/// let mut progress = Progress::default();
+/// progress.record_answer(Duration::from_secs(2), 300.0);
+/// assert_eq!(progress.answers(), 1);
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Track {
+pub struct Progress {
     /// Time in engines and tools, without queue time.
     active_time: Duration,
     work_ms: f64,
@@ -45,10 +45,10 @@
     answers: usize,
 }
 
-impl Track {
+impl Progress {
     /// A program taken over after this many answers, with unknown time and work.
     #[must_use]
-    pub fn after(answers: usize) -> Self {
+    pub fn resumed_after(answers: usize) -> Self {
         Self {
             answers,
             ..Self::default()
@@ -56,7 +56,7 @@
     }
 
     /// Adds an answer that took `took` and cost `work_ms` of engine time.
-    pub fn answer(&mut self, took: Duration, work_ms: f64) {
+    pub fn record_answer(&mut self, took: Duration, work_ms: f64) {
         self.record_stage();
         self.active_time += took;
         self.work_ms += work_ms;
@@ -64,7 +64,7 @@
     }
 
     /// Adds time spent outside the engines, as in a tool call.
-    pub fn outside(&mut self, took: Duration) {
+    pub fn record_external(&mut self, took: Duration) {
         self.active_time += took;
     }
 
@@ -150,7 +150,7 @@
 
 /// What remains of a program.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rest {
+pub struct Remaining {
     /// Time in engines and tools, without queue time.
     pub time: Duration,
     /// Engine time, in milliseconds.
@@ -161,15 +161,15 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use vanillatrail::policy::estimate::{Estimator, Track};
+/// use vanillatrail::policy::estimate::{Estimator, Progress};
 /// let mut estimator = Estimator::default();
 /// let class = "quick".parse().unwrap();
-/// let mut track = Track::default();
-/// track.answer(Duration::from_secs(2), 300.0);
-/// track.answer(Duration::from_secs(3), 400.0);
-/// estimator.ended(&class, &track);
-/// let rest = estimator.rest(&class, 1, 0.5).unwrap();
-/// assert!(rest.time.as_millis().abs_diff(3000) < 50);
+/// let mut progress = Progress::default();
+/// progress.record_answer(Duration::from_secs(2), 300.0);
+/// progress.record_answer(Duration::from_secs(3), 400.0);
+/// estimator.learn(&class, &progress);
+/// let remaining = estimator.remaining(&class, 1, 0.5).unwrap();
+/// assert!(remaining.time.as_millis().abs_diff(3000) < 50);
 /// ```
 #[derive(Debug, Default)]
 pub struct Estimator {
@@ -178,24 +178,29 @@
 
 impl Estimator {
     /// Learns from a program that ended by itself.
-    pub fn ended(&mut self, class: &crate::id::Class, track: &Track) {
+    pub fn learn(&mut self, class: &crate::id::Class, progress: &Progress) {
         let empty = || (0..STAGE_COUNT).map(|_| None).collect();
         let stages = self.classes.entry(class.clone()).or_insert_with(empty);
-        for (stage, active_time, work_ms) in &track.stage_starts {
-            let remaining = track.active_time.saturating_sub(*active_time);
+        for (stage, active_time, work_ms) in &progress.stage_starts {
+            let remaining = progress.active_time.saturating_sub(*active_time);
             let stage = stages[*stage].get_or_insert_with(Stage::new);
-            stage.record(remaining, track.work_ms - work_ms);
+            stage.record(remaining, progress.work_ms - work_ms);
         }
     }
 
     /// What remains of a program after this many answers. Its time is the given quantile over
     /// earlier programs of the class; none if there were no such programs.
     #[must_use]
-    pub fn rest(&self, class: &crate::id::Class, answers: usize, quantile: f64) -> Option<Rest> {
+    pub fn remaining(
+        &self,
+        class: &crate::id::Class,
+        answers: usize,
+        quantile: f64,
+    ) -> Option<Remaining> {
         let stages = self.classes.get(class)?;
         // Falls back to the latest earlier stage that has data.
         let nearest = stages[..=stage(answers)].iter().rev().flatten().next()?;
-        Some(Rest {
+        Some(Remaining {
             time: Duration::from_millis(nearest.quantile(quantile)),
             work_ms: nearest.mean_work_ms,
         })
--- a/src/policy/forecast.rs
+++ b/src/policy/forecast.rs
@@ -1,7 +1,7 @@
 //! The owner's side of the policy: what its programs still need, and which of them may start.
 
 use super::admit::Gate;
-use super::estimate::{Estimator, Rest, Track};
+use super::estimate::{Estimator, Progress, Remaining};
 use super::pace::Rates;
 use crate::id::{Class, Program};
 use std::collections::HashMap;
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 struct Live {
     start: Start,
-    track: Track,
+    track: Progress,
     answered: Option<Instant>,
 }
 
@@ -107,7 +107,7 @@
 
     /// A program has started, or is met for the first time after a takeover.
     pub fn start(&mut self, now: Instant, program: Program, start: Start) {
-        let track = Track::after(start.answers);
+        let track = Progress::resumed_after(start.answers);
         let live = Live {
             start,
             track,
@@ -186,7 +186,7 @@
         let Some(live) = self.live.get_mut(&program) else {
             return;
         };
-        live.track.answer(took, work);
+        live.track.record_answer(took, work);
         live.answered = Some(now);
         if root != program
             && let Some(live) = self.live.get_mut(&root)
@@ -209,7 +209,7 @@
             return;
         };
         if whole {
-            self.estimator.ended(&start.class, &track);
+            self.estimator.learn(&start.class, &track);
         }
         if start.parent.is_some() {
             return;
@@ -227,22 +227,22 @@
         };
         if let Some(since) = live.answered.take() {
             let took = now.saturating_duration_since(since);
-            live.track.outside(took);
+            live.track.record_external(took);
             let pause = self.pauses.entry(live.start.class.clone()).or_insert(1.0);
             *pause += NEWEST * (took.as_secs_f64() - *pause);
         }
     }
 
-    fn rest(&self, start: &Start, answers: usize) -> Rest {
-        let known = self.estimator.rest(&start.class, answers, QUANTILE);
-        known.unwrap_or_else(|| Rest {
+    fn rest(&self, start: &Start, answers: usize) -> Remaining {
+        let known = self.estimator.remaining(&start.class, answers, QUANTILE);
+        known.unwrap_or_else(|| Remaining {
             time: start.target.mul_f64(UNKNOWN).min(UNKNOWN_MOST),
             work_ms: 0.0,
         })
     }
 
     /// What remains of a program and of those that wait for it.
-    fn whole(&self, program: Program) -> Option<Rest> {
+    fn whole(&self, program: Program) -> Option<Remaining> {
         let live = self.live.get(&program)?;
         let mut rest = self.rest(&live.start, live.track.answers());
         if let Some(above) = live.start.parent.and_then(|parent| self.whole(parent)) {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -31,4 +31,4 @@
 mod window;
 
 pub use pool::Pool;
-pub use request::{Action, Ask, Outcome};
+pub use request::{Action, Outcome, Request};
--- a/src/policy/pool.rs
+++ b/src/policy/pool.rs
@@ -2,7 +2,7 @@
 
 use super::pace::{Pace, Rates};
 use super::queue::{Band, Queue};
-use super::request::{Action, Ask, Outcome};
+use super::request::{Action, Outcome, Request};
 use super::server::Server;
 use super::slack::QueuedCall;
 use crate::code::{Code, Failure};
@@ -27,11 +27,11 @@
 /// ```
 /// use tokio::time::Instant;
 /// use vanillatrail::id::{Permit, Program, Shard, Tokens};
-/// use vanillatrail::policy::{Action, Ask, Pool};
+/// use vanillatrail::policy::{Action, Pool, Request};
 /// let mut pool = Pool::default();
 /// let server = "engine-1".parse().unwrap();
-/// pool.configure(&[server]);
-/// let ask = Ask {
+/// pool.set_servers(&[server]);
+/// let request = Request {
 ///     program: Program::new(Shard(0), 1),
 ///     class: None,
 ///     slack_ms: 1000,
@@ -42,7 +42,7 @@
 ///     avoid: Vec::new(),
 ///     zone: None,
 /// };
-/// let actions = pool.ask(Instant::now(), Permit(1), ask);
+/// let actions = pool.request(Instant::now(), Permit(1), request);
 /// assert!(matches!(actions[..], [Action::Grant(Permit(1), _)]));
 /// ```
 #[derive(Debug, Default)]
@@ -68,13 +68,13 @@
 impl Pool {
     /// Enables moving KV cache between servers, all of which must support export and import.
     #[must_use]
-    pub fn with_exports(mut self) -> Self {
+    pub fn with_cache_export(mut self) -> Self {
         self.export_enabled = true;
         self
     }
 
     /// Replaces the set of servers. In-flight calls of removed servers continue.
-    pub fn configure(&mut self, names: &[ServerName]) {
+    pub fn set_servers(&mut self, names: &[ServerName]) {
         for name in names {
             if !self.index_by_name.contains_key(name) {
                 self.index_by_name.insert(name.clone(), self.servers.len());
@@ -90,7 +90,7 @@
     }
 
     /// Marks a server as draining: it gets no new calls.
-    pub fn leave(&mut self, server: &ServerName) {
+    pub fn drain_server(&mut self, server: &ServerName) {
         if let Some(&index) = self.index_by_name.get(server) {
             self.servers[index].draining = true;
             self.update_availability(index);
@@ -98,7 +98,7 @@
     }
 
     /// Queues a call and grants what fits.
-    pub fn ask(&mut self, now: Instant, permit: Permit, request: Ask) -> Vec<Action> {
+    pub fn request(&mut self, now: Instant, permit: Permit, request: Request) -> Vec<Action> {
         if self.queue.len() >= MAX_QUEUED {
             let failure = Failure::refused(Code::Overloaded, "too many calls are queued")
                 .retry_after(Duration::from_secs(1));
@@ -131,7 +131,12 @@
 
     /// Ends a call, whether it was queued or running, and grants what fits. Without an outcome
     /// nothing is learned.
-    pub fn done(&mut self, now: Instant, permit: Permit, outcome: Option<&Outcome>) -> Vec<Action> {
+    pub fn finish(
+        &mut self,
+        now: Instant,
+        permit: Permit,
+        outcome: Option<&Outcome>,
+    ) -> Vec<Action> {
         let queued = self
             .queue
             .remove(permit)
@@ -165,14 +170,14 @@
     }
 
     /// Forgets a program that has ended.
-    pub fn ended(&mut self, program: Program) {
+    pub fn program_ended(&mut self, program: Program) {
         for index in self.servers_of_program.remove(&program).unwrap_or_default() {
             self.servers[index].cache.remove(program);
         }
     }
 
     /// Handles an eviction event: the server has dropped the cache of the program.
-    pub fn dropped(&mut self, server: &ServerName, program: Program) {
+    pub fn cache_evicted(&mut self, server: &ServerName, program: Program) {
         if let Some(&index) = self.index_by_name.get(server) {
             self.servers[index].cache.record_eviction(program);
         }
@@ -180,7 +185,12 @@
 
     /// Notes that a program pauses for about `pause`. Exports idle cache from its servers if they
     /// are nearly full.
-    pub fn pause(&mut self, now: Instant, program: Program, pause: Duration) -> Vec<Action> {
+    pub fn program_paused(
+        &mut self,
+        now: Instant,
+        program: Program,
+        pause: Duration,
+    ) -> Vec<Action> {
         let resume_ms = i64::try_from(pause.as_millis()).unwrap_or(i64::MAX);
         let resume_ms = self.now_ms(now).saturating_add(resume_ms);
         let servers = self
@@ -248,7 +258,7 @@
         }
     }
 
-    fn start(&mut self, permit: Permit, index: usize, request: &Ask) {
+    fn start(&mut self, permit: Permit, index: usize, request: &Request) {
         let tokens = request.prompt.0 + request.max_tokens.0;
         self.servers[index].start(permit, request.program, tokens);
         self.running.insert(permit, index);
@@ -258,7 +268,7 @@
 
     /// The server for a call; none if the call should wait for one that may have cached its
     /// program.
-    fn choose_server(&self, request: &Ask, backfill: bool) -> Option<usize> {
+    fn choose_server(&self, request: &Request, backfill: bool) -> Option<usize> {
         let cache_holders = self.cache_holders(request);
         let others = self
             .available
@@ -283,7 +293,7 @@
     }
 
     /// Servers that may have cached the program.
-    fn cache_holders(&self, request: &Ask) -> Vec<usize> {
+    fn cache_holders(&self, request: &Request) -> Vec<usize> {
         let mut cache_holders = self
             .servers_of_program
             .get(&request.program)
@@ -300,7 +310,7 @@
         cache_holders
     }
 
-    fn expected_cost_ms(&self, index: usize, request: &Ask) -> f64 {
+    fn expected_cost_ms(&self, index: usize, request: &Request) -> f64 {
         let server = &self.servers[index];
         let mut cost_ms = server.expected_call_ms(
             &self.pace,
@@ -320,7 +330,7 @@
     }
 
     /// Expected time until a busy server completes this call: its queue time and its duration.
-    fn expected_wait_ms(&self, index: usize, request: &Ask) -> f64 {
+    fn expected_wait_ms(&self, index: usize, request: &Request) -> f64 {
         let cost_ms = self.expected_cost_ms(index, request);
         cost_ms + cost_ms / (self.servers[index].running() as f64).max(1.0)
     }
@@ -338,7 +348,7 @@
 
     /// Mean window of the servers, in calls.
     #[must_use]
-    pub fn window(&self) -> f64 {
+    pub fn mean_window(&self) -> f64 {
         let count = (self.servers.len() as f64).max(1.0);
         let windows = self.servers.iter().map(|server| server.window(&self.pace));
         (windows.sum::<f64>() / count).max(1.0)
@@ -347,7 +357,7 @@
     /// Engine cost and capacity of the pool, for admission control.
     #[must_use]
     pub fn rates(&self) -> Rates {
-        let window = self.window();
+        let window = self.mean_window();
         let usable = self
             .servers
             .iter()
--- a/src/policy/prefix.rs
+++ b/src/policy/prefix.rs
@@ -23,15 +23,15 @@
 /// The prompt parts that one server has cached, with least-recently-used eviction.
 ///
 /// ```
-/// use vanillatrail::policy::prefix::{Part, Prefixes};
-/// let mut prefixes = Prefixes::default();
+/// use vanillatrail::policy::prefix::{Cache, Part};
+/// let mut cache = Cache::default();
 /// let (shared, own) = (Part { id: 1, tokens: 500 }, Part { id: 2, tokens: 300 });
-/// prefixes.read(&[shared, own], 10_000);
+/// cache.insert(&[shared, own], 10_000);
 /// let other = Part { id: 3, tokens: 200 };
-/// assert_eq!(prefixes.missing(&[shared, other]), 200);
+/// assert_eq!(cache.uncached_tokens(&[shared, other]), 200);
 /// ```
 #[derive(Debug, Default)]
-pub struct Prefixes {
+pub struct Cache {
     /// Tokens and last use of each part.
     parts: HashMap<u64, (u32, u64)>,
     /// Last use and id of each part, least recently used first.
@@ -41,10 +41,10 @@
     use_count: u64,
 }
 
-impl Prefixes {
+impl Cache {
     /// Tokens of a prompt that the server would have to read.
     #[must_use]
-    pub fn missing(&self, prompt: &[Part]) -> u64 {
+    pub fn uncached_tokens(&self, prompt: &[Part]) -> u64 {
         let mut uncached = 0;
         for part in prompt {
             // Only an unbroken prefix is reused.
@@ -57,7 +57,7 @@
 
     /// Inserts the parts of a prompt that the server reads. Evicts parts beyond a capacity of
     /// `max_tokens`.
-    pub fn read(&mut self, prompt: &[Part], max_tokens: u64) {
+    pub fn insert(&mut self, prompt: &[Part], max_tokens: u64) {
         for part in prompt {
             self.use_count += 1;
             if let Some((tokens, last_use)) =
--- a/src/policy/programs.rs
+++ b/src/policy/programs.rs
@@ -5,7 +5,7 @@
 //! program is therefore admitted only while the expected slot use of the admitted programs fits the
 //! servers.
 
-use super::dispatch::Ask;
+use super::dispatch::Request;
 use super::priority::Priority;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -69,7 +69,7 @@
         &mut self,
         now: Instant,
         now_ms: i64,
-        request: &Ask,
+        request: &Request,
         capacity: f64,
     ) -> Priority {
         let deadline_ms = now_ms.saturating_add(request.left_ms);
@@ -115,7 +115,7 @@
     }
 
     /// Priority of a request that arrived at `arrival_ms`.
-    pub(super) fn priority(&self, arrival_ms: i64, key: u64, request: &Ask) -> Priority {
+    pub(super) fn priority(&self, arrival_ms: i64, key: u64, request: &Request) -> Priority {
         let program = self.by_key.get(&key);
         Priority {
             start_ms: program.map_or(arrival_ms, |program| program.start_ms),
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -7,7 +7,7 @@
 /// A call that needs a server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Ask {
+pub struct Request {
     /// Program that makes the call.
     pub program: id::Program,
     /// Class of the program.
--- a/src/policy/service_pool.rs
+++ b/src/policy/service_pool.rs
@@ -1,7 +1,7 @@
 //! The servers and the queue of one service.
 
 use super::candidates::Candidates;
-use super::dispatch::{Ask, Crowd, Description};
+use super::dispatch::{Description, Request, Stats};
 use super::grant_rate::GrantRate;
 use super::priority::Priority;
 use super::programs::Programs;
@@ -21,7 +21,7 @@
 
 #[derive(Debug)]
 pub(super) struct QueuedRequest {
-    pub(super) request: Ask,
+    pub(super) request: Request,
     pub(super) priority: Priority,
 }
 
@@ -78,7 +78,7 @@
 
     /// Adds or updates a server. One whose zone has changed is added as a new one.
     pub(super) fn update_server(&mut self, info: Description) {
-        let known = self.candidates.find(&info.id);
+        let known = self.candidates.index_of(&info.id);
         if let Some(index) = known.filter(|index| self.servers[*index].info.zone == info.zone) {
             self.servers[index].info = info;
             return;
@@ -90,7 +90,7 @@
 
     /// Removes a server. Its in-flight requests continue.
     pub(super) fn remove_server(&mut self, id: &str) {
-        let Some(index) = self.candidates.find(id) else {
+        let Some(index) = self.candidates.index_of(id) else {
             return;
         };
         let (removed, last) = (&self.servers[index].info, self.servers.last());
@@ -107,11 +107,11 @@
         &self,
         now: Instant,
         permit: Permit,
-        request: &Ask,
+        request: &Request,
         band: Band,
         session_server: Option<&Arc<str>>,
     ) -> Option<usize> {
-        let candidates = self.candidates.of(permit, request, session_server);
+        let candidates = self.candidates.select(permit, request, session_server);
         let is_subset = candidates.len() < self.servers.len();
         let chosen = choose(
             &self.servers,
@@ -141,18 +141,18 @@
         slots.map(|slots| slots.max(0.0)).sum()
     }
 
-    pub(super) fn queue_stats<'a>(&'a self, now: Instant, service: &'a str) -> Crowd<'a> {
-        let [in_time, late, past] = self.queue.band_lens();
-        Crowd {
+    pub(super) fn queue_stats<'a>(&'a self, now: Instant, service: &'a str) -> Stats<'a> {
+        let [on_time, late, overdue] = self.queue.band_lens();
+        Stats {
             service,
-            in_time,
+            on_time,
             late,
-            past,
+            overdue,
             running: self.servers.iter().map(|server| server.in_flight).sum(),
-            places: self.capacity(now),
-            per_second: self.grant_rate.per_second(now).unwrap_or_default(),
-            programs: self.programs.counts().1,
-            needs: self.programs.slots_per_program(),
+            usable_slots: self.capacity(now),
+            grants_per_second: self.grant_rate.per_second(now).unwrap_or_default(),
+            admitted_programs: self.programs.counts().1,
+            slots_per_program: self.programs.slots_per_program(),
         }
     }
 
@@ -162,7 +162,7 @@
         &self,
         now: Instant,
         band: Band,
-        request: &Ask,
+        request: &Request,
     ) -> Option<Duration> {
         let (rate, queued_ahead, max_wait) = match band {
             Band::OnTime => (
--- a/src/policy/slack.rs
+++ b/src/policy/slack.rs
@@ -1,7 +1,7 @@
 //! Priority of a queued call, by the slack of its program relative to the remaining time.
 
 use super::queue::{Band, Prioritized};
-use super::request::Ask;
+use super::request::Request;
 
 /// Margin for the estimate, as a fraction of the remaining time, before a call counts as late.
 const LATE_TOLERANCE: f64 = 0.5;
@@ -11,7 +11,7 @@
 /// A queued call. Times are milliseconds of the pool's clock.
 #[derive(Debug, Clone)]
 pub(super) struct QueuedCall {
-    pub(super) request: Ask,
+    pub(super) request: Request,
     /// Latest start with which the whole program meets its target.
     pub(super) latest_start_ms: i64,
     pub(super) arrival_ms: i64,
--- a/src/policy/window.rs
+++ b/src/policy/window.rs
@@ -4,8 +4,8 @@
 //! server is compared with the others of its service; one that fails is ejected for a time that
 //! doubles with each failure in a row (outlier ejection).
 
-use super::dispatch::{Ask, Description, Load};
-use super::prefix::Prefixes;
+use super::dispatch::{Description, Load, Request};
+use super::prefix::Cache;
 use super::queue::Band;
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -54,7 +54,7 @@
     pub(super) info: Description,
     pub(super) in_flight: usize,
     /// Prompt parts that it is expected to have cached.
-    pub(super) prefixes: Prefixes,
+    pub(super) prefix_cache: Cache,
     /// Time of the last completed request of each VM, which left a connection open.
     last_used_by_vm: HashMap<u64, Instant>,
     /// Estimated requests of other senders on the server; negative if requests of this dispatcher
@@ -73,7 +73,7 @@
         Self {
             info,
             in_flight: 0,
-            prefixes: Prefixes::default(),
+            prefix_cache: Cache::default(),
             external_load: 0.0,
             last_used_by_vm: HashMap::new(),
             slowdown: 1.0,
@@ -96,7 +96,7 @@
     }
 
     pub(super) fn is_usable(&self, now: Instant) -> bool {
-        !self.info.leaving && self.ejected_until.is_none_or(|until| until <= now)
+        !self.info.draining && self.ejected_until.is_none_or(|until| until <= now)
     }
 
     /// Whether it can take one more request of this band.
@@ -181,7 +181,7 @@
 pub(super) fn choose(
     servers: &[Server],
     candidates: impl IntoIterator<Item = usize>,
-    request: &Ask,
+    request: &Request,
     band: Band,
     session_server: Option<&Arc<str>>,
     now: Instant,
@@ -208,8 +208,8 @@
         } else {
             0.0
         };
-        let uncached_cost =
-            server.prefixes.missing(&request.prompt) as f64 / UNCACHED_TOKENS_PER_WINDOW;
+        let uncached_cost = server.prefix_cache.uncached_tokens(&request.prompt) as f64
+            / UNCACHED_TOKENS_PER_WINDOW;
         let error_cost = server.error_rate * ERROR_RATE_COST;
         server.cost() + cross_zone_cost + avoid_cost + uncached_cost + error_cost
             - session_bonus
--- a/tests/dispatch_burst.rs
+++ b/tests/dispatch_burst.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::id::Permit;
-use vanillatrail::policy::dispatch::{Ask, Dispatcher, Verdict};
+use vanillatrail::policy::dispatch::{Dispatcher, Placement, Request};
 
 /// Engines, and the turns that each runs at a time.
 const ENGINES: usize = 8;
@@ -90,7 +90,7 @@
             ..Self::default()
         };
         let description = |engine: usize| server(&engine.to_string(), "z", SLOTS);
-        pool.dispatcher.configure((0..ENGINES).map(description));
+        pool.dispatcher.set_servers((0..ENGINES).map(description));
         pool.engines.resize_with(ENGINES, VecDeque::new);
         pool.dispatcher.tick(begin);
         pool
@@ -100,19 +100,19 @@
         self.permits += 1;
         let permit = Permit(self.permits);
         let program = &self.programs[index];
-        let ask = Ask {
+        let ask = Request {
             zone: "z".into(),
             program: Some(index as u64),
             turns: program.turns + 1,
             left_ms: program.begun + self.pace.target() - clock,
-            line: Some(index as u64),
+            session: Some(index as u64),
             ..ask(0)
         };
-        match self.dispatcher.ask(now, permit, ask) {
-            Verdict::Granted(engine) => self.send(permit, index, &engine),
-            Verdict::Waiting => self.waiting.push((permit, index)),
-            Verdict::Refused(_) => self.refused(clock, index),
-            Verdict::NoServer => panic!("there are engines"),
+        match self.dispatcher.request(now, permit, ask) {
+            Placement::Granted(engine) => self.send(permit, index, &engine),
+            Placement::Waiting => self.waiting.push((permit, index)),
+            Placement::Refused(_) => self.refused(clock, index),
+            Placement::NoServer => panic!("there are engines"),
         }
     }
 
@@ -154,7 +154,7 @@
             let (_, index) = self.waiting.remove(at.expect("it waits"));
             self.send(permit, index, &engine);
         }
-        for permit in ticked.refused {
+        for permit in ticked.timed_out {
             let at = self.waiting.iter().position(|(of, _)| *of == permit);
             let (_, index) = self.waiting.remove(at.expect("it waits"));
             self.refused(clock, index);
@@ -163,7 +163,7 @@
 
     fn end(&mut self, now: Instant, clock: i64, turn: &Turn) {
         let took = Duration::from_millis(self.pace.alone.unsigned_abs());
-        self.dispatcher.done(now, turn.permit, done(took));
+        self.dispatcher.finish(now, turn.permit, done(took));
         let program = &mut self.programs[turn.program];
         program.turns += 1;
         if program.turns == TURNS {
--- a/tests/dispatch_errors.rs
+++ b/tests/dispatch_errors.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::id::Permit;
-use vanillatrail::policy::dispatch::{Dispatcher, Outcome, Verdict};
+use vanillatrail::policy::dispatch::{Dispatcher, Outcome, Placement};
 
 const SERVERS: u64 = 12;
 const TOOK: Duration = Duration::from_millis(120);
@@ -19,7 +19,7 @@
 /// which takes 2 ms. Gives how many requests got an answer, and how many an error.
 fn play(errs: impl Fn(&str, u32) -> bool) -> (u32, u32) {
     let (begun, mut dispatcher) = (Instant::now(), Dispatcher::default());
-    dispatcher.configure((0..SERVERS).map(|number| server(&format!("server-{number}"), "z", 6)));
+    dispatcher.set_servers((0..SERVERS).map(|number| server(&format!("server-{number}"), "z", 6)));
     let mut running: VecDeque<(Instant, Permit, Arc<str>)> = VecDeque::new();
     let (mut answered, mut errors) = (0, 0);
     for step in 0..STEPS {
@@ -30,11 +30,11 @@
             answered += 1;
             let erred = errs(&server, answered);
             errors += u32::from(erred);
-            dispatcher.done(at, permit, if erred { Outcome::Error } else { done(TOOK) });
+            dispatcher.finish(at, permit, if erred { Outcome::Error } else { done(TOOK) });
         }
         let mut granted = dispatcher.tick(now).granted;
         let permit = Permit(u64::from(step));
-        if let Verdict::Granted(server) = dispatcher.ask(now, permit, ask(0)) {
+        if let Placement::Granted(server) = dispatcher.request(now, permit, ask(0)) {
             granted.push((permit, server));
         }
         for (permit, server) in granted {
--- a/tests/dispatch_large.rs
+++ b/tests/dispatch_large.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use vanillatrail::id::Permit;
 use vanillatrail::policy::candidates::Candidates;
-use vanillatrail::policy::dispatch::{Ask, Description, Dispatcher, Verdict};
+use vanillatrail::policy::dispatch::{Description, Dispatcher, Placement, Request};
 use vanillatrail::policy::prefix::Part;
 
 const ZONES: u64 = 5;
@@ -25,18 +25,18 @@
 
 fn servers(count: u64) -> impl Iterator<Item = Description> {
     (0..count).map(|number| Description {
-        memory_tokens: 60_000,
+        cache_tokens: 60_000,
         ..server(&format!("server-{number}"), &zone(number), SLOTS)
     })
 }
 
 /// A turn of a line: a beginning that all share, and its own part.
-fn ask(vm: u64, line: u64) -> Ask {
+fn ask(vm: u64, line: u64) -> Request {
     let part = |id, tokens| Part { id, tokens };
-    Ask {
+    Request {
         zone: zone(vm),
         vm,
-        line: Some(line),
+        session: Some(line),
         prompt: vec![part(1, 512), part(1000 + line, 900)],
         ..fleet::ask(0)
     }
@@ -51,15 +51,15 @@
         candidates.configure(servers.iter().map(|server| (&server.id, &server.zone)));
         for number in 0..2000 {
             let ask = ask(number % 10, number % 50);
-            let chosen = candidates.of(Permit(number), &ask, None);
+            let chosen = candidates.select(Permit(number), &ask, None);
             assert!(
                 (10..=40).contains(&chosen.len()),
                 "{} of {count}",
                 chosen.len()
             );
             let server = &servers[chosen[0]].id;
-            candidates.used(ask.vm, server);
-            candidates.read(&ask.prompt, server);
+            candidates.record_use(ask.vm, server);
+            candidates.record_prompt(&ask.prompt, server);
         }
     }
 }
@@ -79,7 +79,7 @@
 fn replay(count: u64, rate: u64) -> Tally {
     let mut rng = StdRng::seed_from_u64(7);
     let mut dispatcher = Dispatcher::default();
-    dispatcher.configure(servers(count));
+    dispatcher.set_servers(servers(count));
     let zones: HashMap<Arc<str>, Arc<str>> = servers(count)
         .map(|server| (server.id, server.zone))
         .collect();
@@ -92,12 +92,13 @@
     for number in 0..rate * 10 {
         let now = begin + step * u32::try_from(number).expect("small");
         while let Some((_, permit, server)) = running.pop_if(|(end, ..)| *end <= now) {
-            dispatcher.done(now, permit, done(TOOK));
+            dispatcher.finish(now, permit, done(TOOK));
             *at.entry(server).or_default() -= 1;
         }
         let line = rng.random_range(0..1500);
         let vm = line % VMS;
-        let Verdict::Granted(server) = dispatcher.ask(now, Permit(number), ask(vm, line)) else {
+        let Placement::Granted(server) = dispatcher.request(now, Permit(number), ask(vm, line))
+        else {
             panic!("there is room");
         };
         tally.turns += 1;
@@ -138,19 +139,19 @@
         let about = &all[rng.random_range(0..all.len())];
         match rng.random_range(0..4) {
             0 => {
-                dispatcher.remove("pool", &about.id);
+                dispatcher.remove_server("pool", &about.id);
                 live.remove(&about.id);
             }
             1 => {
                 let leaving = Description {
-                    leaving: true,
+                    draining: true,
                     ..about.clone()
                 };
-                dispatcher.set(leaving.clone());
+                dispatcher.update_server(leaving.clone());
                 live.insert(Arc::clone(&about.id), leaving);
             }
             _ => {
-                dispatcher.set(about.clone());
+                dispatcher.update_server(about.clone());
                 live.insert(Arc::clone(&about.id), about.clone());
             }
         }
@@ -161,16 +162,16 @@
     let mut used = std::collections::BTreeSet::new();
     let now = Instant::now();
     for number in 0..20_000 {
-        let ask = Ask {
+        let ask = Request {
             prompt: Vec::new(),
             ..ask(number, number)
         };
-        let Verdict::Granted(server) = dispatcher.ask(now, Permit(number), ask) else {
+        let Placement::Granted(server) = dispatcher.request(now, Permit(number), ask) else {
             panic!("there is room");
         };
-        assert!(!live[&server].leaving);
+        assert!(!live[&server].draining);
         used.insert(server);
-        dispatcher.done(now, Permit(number), done(TOOK));
+        dispatcher.finish(now, Permit(number), done(TOOK));
     }
     assert!(used.len() >= 100, "{}", used.len());
 }
--- a/tests/dispatch_many.rs
+++ b/tests/dispatch_many.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::id::Permit;
-use vanillatrail::policy::dispatch::{Ask, Description, Dispatcher, Verdict};
+use vanillatrail::policy::dispatch::{Description, Dispatcher, Placement, Request};
 
 const VMS: u64 = 300;
 const ZONES: u64 = 5;
@@ -31,8 +31,8 @@
     (0..SERVERS).map(|number| server(&format!("server-{number}"), &zone(number), SLOTS))
 }
 
-fn ask(vm: u64) -> Ask {
-    Ask {
+fn ask(vm: u64) -> Request {
+    Request {
         zone: zone(vm),
         vm,
         ..fleet::ask(0)
@@ -53,7 +53,7 @@
 fn replay(seed: u64) -> Tally {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut dispatcher = Dispatcher::default();
-    dispatcher.configure(servers());
+    dispatcher.set_servers(servers());
     let begin = Instant::now();
     let mut tally = Tally::default();
     let mut running: Vec<(Instant, Permit, u64, Arc<str>)> = Vec::new();
@@ -64,11 +64,11 @@
     for number in 0..RATE * LENGTH.as_secs() {
         let now = begin + step * u32::try_from(number).expect("small");
         while let Some((_, permit, vm, server)) = running.pop_if(|(end, ..)| *end <= now) {
-            dispatcher.done(now, permit, done(TOOK));
+            dispatcher.finish(now, permit, done(TOOK));
             idle.entry((vm, server)).or_default().push(now);
         }
         let vm = rng.random_range(0..VMS);
-        let Verdict::Granted(server) = dispatcher.ask(now, Permit(number), ask(vm)) else {
+        let Placement::Granted(server) = dispatcher.request(now, Permit(number), ask(vm)) else {
             panic!("there is room");
         };
         tally.sent += 1;
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::time::Duration;
-use vanillatrail::policy::dispatch::{Ask, Description, Outcome};
+use vanillatrail::policy::dispatch::{Description, Outcome, Request};
 
 /// A server that keeps prompts and takes new requests.
 pub fn server(id: &str, zone: &str, slots: usize) -> Description {
@@ -12,14 +12,14 @@
         service: "pool".into(),
         zone: zone.into(),
         slots,
-        memory_tokens: 100_000,
-        leaving: false,
+        cache_tokens: 100_000,
+        draining: false,
     }
 }
 
 /// A request of a route of this rank that is part of no program.
-pub fn ask(rank: u8) -> Ask {
-    Ask {
+pub fn ask(rank: u8) -> Request {
+    Request {
         service: "pool".into(),
         zone: "a".into(),
         vm: 1,
@@ -27,8 +27,8 @@
         program: None,
         turns: 0,
         left_ms: 2000,
-        limit_ms: 4000,
-        line: None,
+        max_wait_ms: 4000,
+        session: None,
         prompt: Vec::new(),
         avoid: Vec::new(),
     }
--- a/tests/policy_window.rs
+++ b/tests/policy_window.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::id::{Permit, Program, Server, Shard, Tokens};
-use vanillatrail::policy::{Action, Ask, Outcome, Pool};
+use vanillatrail::policy::{Action, Outcome, Pool, Request};
 
-fn ask(number: u64) -> Ask {
-    Ask {
+fn ask(number: u64) -> Request {
+    Request {
         program: Program::new(Shard(0), u128::from(number)),
         class: None,
         slack_ms: 0,
@@ -26,12 +26,12 @@
     let mut now = Instant::now();
     let server: Server = "e1".parse().expect("a name");
     let mut pool = Pool::default();
-    pool.configure(std::slice::from_ref(&server));
+    pool.set_servers(std::slice::from_ref(&server));
     let mut running = Vec::new();
     let mut widest = 0;
     for number in 0..3000 {
         now += Duration::from_millis(5);
-        let mut actions = pool.ask(now, Permit(number), ask(number));
+        let mut actions = pool.request(now, Permit(number), ask(number));
         let waiting = pool.load().0;
         if waiting > 20 {
             let busy = running.len() as f64;
@@ -46,7 +46,7 @@
                 completion: Tokens(40),
                 ..Outcome::default()
             };
-            actions.extend(pool.done(now, done, Some(&outcome)));
+            actions.extend(pool.finish(now, done, Some(&outcome)));
         }
         running.extend(actions.into_iter().filter_map(|action| match action {
             Action::Grant(permit, _) => Some(permit),
