--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -1,8 +1,8 @@
 //! Preselection of servers for a request.
 //!
 //! Scoring every server for every request does not scale to services with thousands of servers.
-//! Above a limit, only the servers that recently ran requests of the VM or read parts of the prompt
-//! are scored, plus a random sample of the zone and of all servers.
+//! Above a limit, only the servers that recently ran requests of the VM or processed parts of
+//! the prompt are scored, plus a random sample of the zone and of all servers.
 
 use super::dispatch::Request;
 use super::prefix::Part;
@@ -27,7 +27,7 @@
     by_zone: HashMap<Arc<str>, Vec<usize>>,
     /// Servers that each VM used last, the most recent at the back.
     by_vm: HashMap<u64, VecDeque<Arc<str>>>,
-    /// Servers that read each prompt part last, the most recent at the back.
+    /// Servers that processed each prompt part last, the most recent at the back.
     by_part: HashMap<u64, VecDeque<Arc<str>>>,
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Records that a server read a prompt.
+    /// Records that a server processes a prompt.
     pub fn record_prompt(&mut self, prompt: &[Part], server: &Arc<str>) {
         if self.index_by_id.len() <= MAX_UNSAMPLED_SERVERS {
             return;
--- a/src/policy/pool.rs
+++ b/src/policy/pool.rs
@@ -310,6 +310,8 @@
         cache_holders
     }
 
+    /// Expected duration of the call on this server, plus penalties if its cache is full or if it
+    /// should be avoided.
     fn expected_cost_ms(&self, index: usize, request: &Request) -> f64 {
         let server = &self.servers[index];
         let mut cost_ms = server.expected_call_ms(
--- a/src/policy/prefix.rs
+++ b/src/policy/prefix.rs
@@ -1,8 +1,8 @@
 //! Model of the prefix cache of a server.
 //!
-//! A server that has cached the beginning of a prompt only reads the rest, and reading blocks all
-//! other requests on it. Sub-agents, whose prompts start with that of their parent, and further
-//! turns of a session profit from it.
+//! A server that has cached the beginning of a prompt has to prefill only the rest, and prefill
+//! blocks all other requests on it. Sub-agents, whose prompts start with that of their parent, and
+//! further turns of a session profit from it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, HashMap};
@@ -42,7 +42,7 @@
 }
 
 impl Cache {
-    /// Tokens of a prompt that the server would have to read.
+    /// Tokens of a prompt that the server would have to prefill.
     #[must_use]
     pub fn uncached_tokens(&self, prompt: &[Part]) -> u64 {
         let mut uncached = 0;
@@ -55,7 +55,7 @@
         uncached
     }
 
-    /// Inserts the parts of a prompt that the server reads. Evicts parts beyond a capacity of
+    /// Inserts the parts of a prompt that the server processes. Evicts parts beyond a capacity of
     /// `max_tokens`.
     pub fn insert(&mut self, prompt: &[Part], max_tokens: u64) {
         for part in prompt {
--- a/src/policy/window.rs
+++ b/src/policy/window.rs
@@ -83,6 +83,7 @@
         }
     }
 
+    /// Records that a request of the VM has ended and left its connection open.
     pub(super) fn record_connection(&mut self, now: Instant, vm: u64) {
         self.last_used_by_vm
             .retain(|_, at| *at + CONNECTION_IDLE_TIME > now);
