--- /dev/null
+++ b/src/policy/service_pool.rs
@@ -0,0 +1,215 @@
+//! The servers and the queue of one service.
+
+use super::candidates::Candidates;
+use super::dispatch::{Description, Request, Stats};
+use super::grant_rate::GrantRate;
+use super::priority::Priority;
+use super::programs::Programs;
+use super::queue::{Band, Prioritized, Queue};
+use super::window::{Server, choose};
+use crate::id::Permit;
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Queued requests considered per attempt to grant.
+pub(super) const MAX_SCANNED: usize = 32;
+/// Bounds of the Retry-After of a refused request.
+const RETRY_AFTER_BOUNDS: (Duration, Duration) =
+    (Duration::from_millis(300), Duration::from_secs(2));
+
+#[derive(Debug)]
+pub(super) struct QueuedRequest {
+    pub(super) request: Request,
+    pub(super) priority: Priority,
+}
+
+impl QueuedRequest {
+    pub(super) fn late_wait_expired(&self, now_ms: i64) -> bool {
+        let max_wait_ms =
+            i64::try_from(self.request.max_late_wait().as_millis()).unwrap_or(i64::MAX);
+        self.priority.arrival_ms + max_wait_ms < now_ms
+    }
+}
+
+impl Prioritized for QueuedRequest {
+    const LATE_GRANT_INTERVAL: u64 = Priority::LATE_GRANT_INTERVAL;
+
+    fn band(&self, now_ms: i64) -> (Band, i64) {
+        self.priority.band(now_ms)
+    }
+
+    fn sort_key(&self, band: Band) -> i64 {
+        self.priority.sort_key(band)
+    }
+}
+
+/// The servers and the queue of one service.
+#[derive(Debug, Default)]
+pub(super) struct ServicePool {
+    pub(super) servers: Vec<Server>,
+    pub(super) candidates: Candidates,
+    pub(super) queue: Queue<QueuedRequest>,
+    pub(super) grant_rate: GrantRate,
+    /// Grants to requests of late or not admitted programs.
+    pub(super) late_grant_rate: GrantRate,
+    pub(super) programs: Programs,
+    /// Moving average of the latency per unit of work, in milliseconds; none before the first
+    /// response.
+    pub(super) mean_ms_per_work: Option<f64>,
+}
+
+impl ServicePool {
+    /// Replaces the set of servers. In-flight requests of removed servers continue.
+    pub(super) fn set_servers(&mut self, mut infos: HashMap<Arc<str>, Description>) {
+        self.servers.retain_mut(|server| {
+            let Some(info) = infos.remove(&server.info.id) else {
+                return false;
+            };
+            server.info = info;
+            true
+        });
+        self.servers.extend(infos.into_values().map(Server::new));
+        let servers = self.servers.iter().map(|server| &server.info);
+        self.candidates
+            .configure(servers.map(|info| (&info.id, &info.zone)));
+    }
+
+    /// Adds or updates a server. One whose zone has changed is added as a new one.
+    pub(super) fn update_server(&mut self, info: Description) {
+        let known = self.candidates.index_of(&info.id);
+        if let Some(index) = known.filter(|index| self.servers[*index].info.zone == info.zone) {
+            self.servers[index].info = info;
+            return;
+        }
+        self.remove_server(&info.id);
+        self.candidates.add(&info.id, &info.zone);
+        self.servers.push(Server::new(info));
+    }
+
+    /// Removes a server. Its in-flight requests continue.
+    pub(super) fn remove_server(&mut self, id: &str) {
+        let Some(index) = self.candidates.index_of(id) else {
+            return;
+        };
+        let (removed, last) = (&self.servers[index].info, self.servers.last());
+        if let Some(Server { info, .. }) = last {
+            let removed_key = (&*removed.id, &*removed.zone);
+            self.candidates.remove(removed_key, (&info.id, &info.zone));
+        }
+        self.servers.swap_remove(index);
+    }
+
+    /// Index of the best server with room for a request. Falls back to all servers if no candidate
+    /// has room.
+    pub(super) fn choose(
+        &self,
+        now: Instant,
+        permit: Permit,
+        request: &Request,
+        band: Band,
+        session_server: Option<&Arc<str>>,
+    ) -> Option<usize> {
+        let candidates = self.candidates.select(permit, request, session_server);
+        let is_subset = candidates.len() < self.servers.len();
+        let chosen = choose(
+            &self.servers,
+            candidates,
+            request,
+            band,
+            session_server,
+            now,
+        );
+        if chosen.is_some() || !is_subset {
+            return chosen;
+        }
+        choose(
+            &self.servers,
+            0..self.servers.len(),
+            request,
+            band,
+            session_server,
+            now,
+        )
+    }
+
+    /// Slots of usable servers, without those taken by other senders.
+    pub(super) fn capacity(&self, now: Instant) -> f64 {
+        let usable = self.servers.iter().filter(|server| server.is_usable(now));
+        let slots = usable.map(|server| server.info.slots as f64 - server.external_load.max(0.0));
+        slots.map(|slots| slots.max(0.0)).sum()
+    }
+
+    pub(super) fn queue_stats<'a>(&'a self, now: Instant, service: &'a str) -> Stats<'a> {
+        let [on_time, late, overdue] = self.queue.band_lens();
+        Stats {
+            service,
+            on_time,
+            late,
+            overdue,
+            running: self.servers.iter().map(|server| server.in_flight).sum(),
+            usable_slots: self.capacity(now),
+            grants_per_second: self.grant_rate.per_second(now).unwrap_or_default(),
+            admitted_programs: self.programs.counts().1,
+            slots_per_program: self.programs.slots_per_program(),
+        }
+    }
+
+    /// Retry-After of a request whose expected queue time exceeds its maximum wait; none if it may
+    /// wait.
+    pub(super) fn overload_retry_after(
+        &self,
+        now: Instant,
+        band: Band,
+        request: &Request,
+    ) -> Option<Duration> {
+        let (rate, queued_ahead, max_wait) = match band {
+            Band::OnTime => (
+                &self.grant_rate,
+                self.queue.queued_ahead(band),
+                request.max_wait(),
+            ),
+            Band::Late | Band::Backfill => {
+                let queued_ahead =
+                    self.queue.queued_ahead(band) - self.queue.queued_ahead(Band::OnTime);
+                (&self.late_grant_rate, queued_ahead, request.max_late_wait())
+            }
+        };
+        let wait = Duration::from_secs_f64(rate.wait_ms(now, queued_ahead) / 1000.0);
+        let (min, max) = RETRY_AFTER_BOUNDS;
+        (wait > max_wait).then(|| wait.clamp(min, max))
+    }
+
+    /// Ends a request that spent `took` at a server.
+    pub(super) fn request_ended(&mut self, now: Instant, program: Option<u64>, took: Duration) {
+        if let Some(program) = program {
+            self.programs.request_ended(now, program, took);
+        }
+    }
+
+    /// Releases the slots reserved by ended or late programs, and admits queued programs that fit.
+    pub(super) fn sweep(&mut self, now: Instant, now_ms: i64) {
+        self.programs.sweep(now, now_ms);
+        let capacity = self.capacity(now);
+        for permit in self.queue.most_urgent(now_ms, MAX_SCANNED) {
+            let Some((QueuedRequest { request, priority }, Band::Late)) = self.queue.get(permit)
+            else {
+                continue;
+            };
+            let Some(program) = request.program else {
+                continue;
+            };
+            if priority.admitted || !self.programs.try_admit(now_ms, program, capacity) {
+                continue;
+            }
+            if let Some(QueuedRequest { request, priority }) = self.queue.remove(permit) {
+                let priority = self
+                    .programs
+                    .priority(priority.arrival_ms, program, &request);
+                self.queue
+                    .push(now_ms, permit, QueuedRequest { request, priority });
+            }
+        }
+    }
+}
