--- a/src/policy/allowance.rs
+++ b/src/policy/allowance.rs
@@ -1,9 +1,8 @@
-//! The tokens that a program may still generate, counted so that no crash gives any of them twice.
+//! Token budgets of programs, counted so that no token is granted twice after a crash.
 //!
-//! Load it answers: programs that loop without end and are stopped by their budget alone, whose
-//! turns come in through any VM. What is handed out is covered beforehand by a durable allowance;
-//! who reads the records after a crash takes all of it as spent. An allowance covers several turns,
-//! since a record for every turn would cost a write each and a wait before the first token.
+//! Programs that loop without end are stopped only by their budget, and their turns arrive at any VM. Before tokens are
+//! granted, a durable record (the allowance) covers them; after a crash the whole allowance counts as spent. One
+//! allowance covers several turns, so that not every turn waits for a write before its first token.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -11,42 +10,40 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Turns that a new allowance covers at least, at their most tokens. Turns generate about a quarter
-/// of their most, so two cover a short program; a crash takes at most so much of its budget.
-const TURNS: u64 = 2;
-/// The part of a budget that a new allowance covers at least, so that a long program needs about
-/// four records.
-const PART: u64 = 4;
+/// A new allowance covers at least this many turns of maximum length.
+const MIN_TURNS_PER_ALLOWANCE: u64 = 2;
+/// A new allowance covers at least the budget divided by this, which limits the records of a long program.
+const MAX_ALLOWANCES_PER_BUDGET: u64 = 4;
 
-/// Which reservation, so that a repeated request is not counted twice.
+/// Identifies a reservation, so that a repeated request is counted once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Reservation {
-    /// The VM that asks.
+    /// Number of the VM that makes the reservation, derived from its address.
     pub vm: u64,
-    /// Its number there.
+    /// Number of the reservation, unique on that VM.
     pub number: u64,
 }
 
-/// A turn that wants to generate tokens.
+/// A request to reserve tokens for one turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Turn {
-    /// Tokens that all turns of the program may generate.
+    /// Tokens that all turns of the program together may generate.
     pub budget: u64,
-    /// The most that this one generates.
+    /// Maximum number of tokens that this turn may generate.
     pub most: u64,
-    /// Tokens that the VM that asks knows to be spent.
+    /// Tokens that the requesting VM knows to be spent, with turns in progress counted at their maximum.
     pub seen: u64,
 }
 
 /// Whether a turn may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// The durable allowance covers it.
+    /// It may run: the durable allowance covers it.
     Covered,
-    /// It may run once this allowance is durable.
+    /// It may run once an allowance of this many tokens is durable.
     Record(u64),
-    /// The budget is spent.
+    /// It may not run: the budget is spent or reserved.
     Spent,
 }
 
@@ -62,32 +59,32 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Account {
-    /// What is durable.
+    /// The durable allowance.
     allowed: u64,
-    /// What was handed out, and after a crash what may have been.
+    /// Tokens generated, and those that may have been generated before a crash.
     spent: u64,
     reserved: u64,
     turns: u32,
-    used: Instant,
+    last_used: Instant,
 }
 
-/// What is known of one program.
+/// The account of one program, as handed over to another VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// The program.
+    /// Id of the program.
     pub program: String,
-    /// Its allowance.
+    /// Tokens covered by the durable allowance.
     pub allowed: u64,
-    /// Tokens that were handed out.
+    /// Tokens generated, and those that may have been generated before a crash.
     pub spent: u64,
-    /// Turns so far.
+    /// Number of turns that have reserved tokens.
     pub turns: u32,
-    /// Turns under way, and the most that each generates.
+    /// Reservations of turns in progress, each with its maximum number of tokens.
     pub open: Vec<(Reservation, u64)>,
 }
 
-/// The programs of one partition.
+/// The token accounts of the programs of one partition.
 ///
 /// ```
 /// use tokio::time::Instant;
@@ -102,53 +99,52 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     accounts: HashMap<String, Account>,
+    /// Program and maximum number of tokens of each turn in progress.
     open: HashMap<Reservation, (String, u64)>,
-    doubtful: bool,
+    /// Whether tokens granted without a durable record may be missing from the accounts.
+    is_incomplete: bool,
 }
 
 impl Turn {
-    /// Tokens that a program may be given at the most beyond what is durable.
+    /// Maximum number of tokens that a program may be granted beyond its durable allowance.
     ///
-    /// While nothing can be recorded, what is given is kept in the memory of some VMs; should all
-    /// of them be lost, it is not known any more that it was given. So it is bounded, and after
-    /// such a loss the bound counts as spent: then no program goes beyond its budget. Half is
-    /// enough: programs that end by themselves use up to 0.58 of their budgets, reserved tokens of
-    /// the last turn among them.
+    /// While the store is unavailable, grants exist only in the memory of a few VMs. If all of these fail, this maximum
+    /// counts as spent, so that no program exceeds its budget.
     #[must_use]
-    pub fn undurable(&self) -> u64 {
+    pub fn max_unrecorded_tokens(&self) -> u64 {
         (self.budget / 2).max(self.most)
     }
 }
 
 impl Ledger {
-    /// Takes in a record of another VM: what it allows beyond what is known here may have been
-    /// handed out there.
+    /// Applies an allowance recorded by another VM. What it adds to the one known here counts as spent, since the
+    /// other VM may have granted it.
     pub fn restore(&mut self, now: Instant, program: &str, allowed: u64) {
         let account = self.account(now, program);
         account.spent += allowed.saturating_sub(account.allowed);
         account.allowed = account.allowed.max(allowed);
     }
 
-    /// What was given without a record may have been forgotten: for every program that is met from
-    /// now on, the most of it counts as spent.
+    /// Notes that unrecorded grants may have been lost: for every program that is new to this ledger, the maximum of
+    /// such grants counts as spent.
     pub const fn doubt(&mut self) {
-        self.doubtful = true;
+        self.is_incomplete = true;
     }
 
-    /// Whether what was given without a record may have been forgotten.
+    /// Whether unrecorded grants may have been lost.
     #[must_use]
     pub const fn is_doubtful(&self) -> bool {
-        self.doubtful
+        self.is_incomplete
     }
 
-    /// Whether what is spent and reserved of a program may be covered without a record.
+    /// Whether the tokens spent or reserved by a program stay within what may be granted without a durable record.
     #[must_use]
     pub fn bears(&self, program: &str, turn: Turn) -> bool {
         let (_, total) = self.standing(program);
-        total <= self.allowed(program) + turn.undurable()
+        total <= self.allowed(program) + turn.max_unrecorded_tokens()
     }
 
-    /// All that is known, for a VM that goes on with it.
+    /// All accounts, for the VM that takes over the partition.
     #[must_use]
     pub fn export(&self) -> Vec<Entry> {
         let entry = |(program, account): (&String, &Account)| Entry {
@@ -156,50 +152,52 @@
             allowed: account.allowed,
             spent: account.spent,
             turns: account.turns,
-            open: self.open_of(program),
+            open: self.open_reservations(program),
         };
         self.accounts.iter().map(entry).collect()
     }
 
-    fn open_of(&self, program: &str) -> Vec<(Reservation, u64)> {
+    fn open_reservations(&self, program: &str) -> Vec<(Reservation, u64)> {
         let open = self.open.iter();
-        open.filter(|(_, (of, _))| of == program)
-            .map(|(reservation, (_, most))| (*reservation, *most))
+        open.filter(|(_, (owner, _))| owner == program)
+            .map(|(reservation, (_, max_tokens))| (*reservation, *max_tokens))
             .collect()
     }
 
-    /// Goes on with what another VM knew, unless turns of the program have asked here already.
+    /// Takes over an account from another VM. If turns of the program have already reserved tokens here, only the
+    /// allowance is applied, as by [`Ledger::restore`].
     ///
-    /// The other VM may have been shut out without knowing: what the records allow beyond what it
-    /// gave was given by a third one, and counts as spent.
+    /// The other VM may have been fenced off without noticing. An allowance beyond the one it knew was then recorded by
+    /// a third VM, and the difference counts as spent.
     pub fn adopt(&mut self, now: Instant, entry: Entry) {
         let account = self.account(now, &entry.program);
         if account.turns > 0 {
             return self.restore(now, &entry.program, entry.allowed);
         }
-        let of_others = account.allowed.saturating_sub(entry.allowed);
+        let by_others = account.allowed.saturating_sub(entry.allowed);
         account.allowed = account.allowed.max(entry.allowed);
-        account.spent = entry.spent + of_others;
+        account.spent = entry.spent + by_others;
         account.turns = entry.turns;
-        account.reserved = entry.open.iter().map(|(_, most)| most).sum();
+        account.reserved = entry.open.iter().map(|(_, max_tokens)| max_tokens).sum();
         let program = entry.program;
         let open = entry.open.into_iter();
-        self.open
-            .extend(open.map(|(reservation, most)| (reservation, (program.clone(), most))));
+        self.open.extend(
+            open.map(|(reservation, max_tokens)| (reservation, (program.clone(), max_tokens))),
+        );
     }
 
     fn account(&mut self, now: Instant, program: &str) -> &mut Account {
-        let fresh = Account {
+        let empty = Account {
             allowed: 0,
             spent: 0,
             reserved: 0,
             turns: 0,
-            used: now,
+            last_used: now,
         };
-        self.accounts.entry(program.to_owned()).or_insert(fresh)
+        self.accounts.entry(program.to_owned()).or_insert(empty)
     }
 
-    /// Reserves the most that a turn generates. A repeated reservation is counted once.
+    /// Reserves the maximum number of tokens of a turn. A repeated reservation is counted once.
     pub fn reserve(
         &mut self,
         now: Instant,
@@ -207,16 +205,20 @@
         reservation: Reservation,
         turn: Turn,
     ) -> Verdict {
-        let known = self.open.contains_key(&reservation);
-        let doubted = if self.doubtful { turn.undurable() } else { 0 };
+        let is_known = self.open.contains_key(&reservation);
+        let maybe_lost = if self.is_incomplete {
+            turn.max_unrecorded_tokens()
+        } else {
+            0
+        };
         let account = self.account(now, program);
-        account.used = now;
+        account.last_used = now;
         if account.turns == 0 {
-            // What was seen counts the turns under way at their most. Later it is known better.
-            account.spent = (account.spent + doubted).max(turn.seen);
+            // Only on the first turn: `seen` is an upper bound, since it counts turns in progress at their maximum.
+            account.spent = (account.spent + maybe_lost).max(turn.seen);
         }
-        if !known {
-            // Beyond the budget goes at most the last turn that began within it.
+        if !is_known {
+            // A turn that starts within the budget may exceed it.
             if account.spent + account.reserved >= turn.budget {
                 return Verdict::Spent;
             }
@@ -227,50 +229,51 @@
         let verdict = if needed <= account.allowed {
             Verdict::Covered
         } else {
-            let more = (turn.most * TURNS).max(turn.budget / PART);
-            let wanted = (needed - turn.most + more).min(turn.budget + turn.most);
-            Verdict::Record(wanted.max(needed))
+            let step =
+                (turn.most * MIN_TURNS_PER_ALLOWANCE).max(turn.budget / MAX_ALLOWANCES_PER_BUDGET);
+            let allowance = (needed - turn.most + step).min(turn.budget + turn.most);
+            Verdict::Record(allowance.max(needed))
         };
-        if !known {
+        if !is_known {
             self.open
                 .insert(reservation, (program.to_owned(), turn.most));
         }
         verdict
     }
 
-    /// An allowance is durable.
+    /// Notes that an allowance is durable.
     pub fn recorded(&mut self, program: &str, allowed: u64) {
         if let Some(account) = self.accounts.get_mut(program) {
             account.allowed = account.allowed.max(allowed);
         }
     }
 
-    /// A turn is over: `used` tokens were handed out.
+    /// Closes the reservation of a turn that has ended after generating `used` tokens.
     pub fn settle(&mut self, now: Instant, reservation: Reservation, used: u64) {
-        let Some((program, most)) = self.open.remove(&reservation) else {
+        let Some((program, max_tokens)) = self.open.remove(&reservation) else {
             return;
         };
         if let Some(account) = self.accounts.get_mut(&program) {
-            account.reserved = account.reserved.saturating_sub(most);
+            account.reserved = account.reserved.saturating_sub(max_tokens);
             account.spent += used;
-            account.used = now;
+            account.last_used = now;
         }
     }
 
-    /// Whether a reservation is counted and not over.
+    /// Whether a reservation is known and its turn has not ended.
     #[must_use]
     pub fn is_open(&self, reservation: Reservation) -> bool {
         self.open.contains_key(&reservation)
     }
 
-    /// The durable allowance of a program.
+    /// The durable allowance of a program in tokens; 0 if the program is unknown.
     #[must_use]
     pub fn allowed(&self, program: &str) -> u64 {
         let account = self.accounts.get(program);
         account.map_or(0, |account| account.allowed)
     }
 
-    /// How many turns of a program have asked here, and the tokens that are spent or reserved.
+    /// Number of turns of a program that have reserved tokens, and its tokens spent or reserved.
     #[must_use]
     pub fn standing(&self, program: &str) -> (u32, u64) {
         let account = self.accounts.get(program);
@@ -279,13 +282,13 @@
         })
     }
 
-    /// Forgets programs that have been idle for `idle`, and names them.
+    /// Removes programs that have been idle for `idle`, and returns their ids.
     pub fn expire(&mut self, now: Instant, idle: Duration) -> Vec<String> {
-        let over = |account: &Account| account.used + idle <= now;
+        let is_expired = |account: &Account| account.last_used + idle <= now;
         let expired: Vec<String> = self
             .accounts
             .iter()
-            .filter(|(_, account)| over(account))
+            .filter(|(_, account)| is_expired(account))
             .map(|(program, _)| program.clone())
             .collect();
         for program in &expired {
@@ -296,13 +299,13 @@
         expired
     }
 
-    /// How many programs are known.
+    /// Number of programs with an account.
     #[must_use]
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Whether no program is known.
+    /// Whether no program has an account.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
--- a/src/policy/limit.rs
+++ b/src/policy/limit.rs
@@ -1,126 +1,124 @@
-//! How many requests of a team may go, over a sliding window and in the short run.
+//! Rate limit of a team: a token bucket combined with a sliding window.
 //!
-//! Load it answers: a team that sends several times its usual, through any VM. One VM counts a team; when that VM
-//! dies, another goes on without knowing what was granted. So what is granted is bounded twice: over the window,
-//! and by a bucket that a new counter starts empty. What the one before granted and what the new one grants are
-//! then within the tolerance together, with no record kept anywhere.
+//! One VM counts the requests of a team. If it fails, another VM takes over without knowing what was granted. The new
+//! counter therefore starts with an almost empty bucket, so that the grants of both stay within the tolerance without
+//! any stored state.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time over which grants of the window are counted together.
+/// Resolution of the sliding window.
 const SLICE: Duration = Duration::from_millis(100);
-/// The part of the tolerance that the bucket may use. The rest is for takeovers, and for requests that reach a
-/// server later than others that were granted after them.
-const USED: f64 = 0.8;
-/// Requests that a new counter may grant at once, so that a team that sends one at a time does not wait. Of five
-/// takeovers in a window each grants so many.
-const START: f64 = 1.0;
-/// How long before it is sent a request may be granted. A counter begins no sooner after the last grant of the one
-/// before, so that what that one promised has been sent. A program whose tool waits so long still ends in time.
+/// Fraction of the tolerance that the bucket may use. The rest is for takeovers, and for requests that reach a server
+/// later than requests granted after them.
+const BUCKET_TOLERANCE_FRACTION: f64 = 0.8;
+/// Tokens in the bucket of a new counter, so that a team that sends one request at a time does not wait.
+const INITIAL_TOKENS: f64 = 1.0;
+/// Longest time between granting a request and sending it. A new counter starts no earlier than this after the last
+/// grant of the previous one, so that all requests granted by that one have been sent.
 pub const AHEAD: Duration = Duration::from_millis(300);
 
 /// How many requests of a team may reach backend servers, over all VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Requests a second.
+    /// Sustained rate, in requests per second.
     pub per_second: f64,
-    /// Requests beyond that at a time.
+    /// Requests that may be sent at once in addition to the sustained rate.
     pub burst: f64,
 }
 
-/// How closely limits are held, as the operators of a deployment state it.
+/// How closely limits are enforced, from the settings of the deployment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
-    /// The window over which requests are counted.
+    /// Length of the sliding window over which requests are counted.
     pub window: Duration,
-    /// The share by which a limit may be passed.
+    /// Fraction of the limit by which it may be exceeded within a window.
     pub excess: f64,
-    /// Requests by which it may be passed beside that.
+    /// Requests by which the limit may be exceeded within a window in addition to `excess`.
     pub slack: f64,
 }
 
 impl Bound {
-    /// Requests of a team in one window.
-    fn most(&self, limit: Limit) -> f64 {
+    fn max_in_window(&self, limit: Limit) -> f64 {
         limit.per_second * self.window.as_secs_f64() + limit.burst
     }
 
+    /// Requests by which the limit may be exceeded within a window.
     fn tolerance(&self, limit: Limit) -> f64 {
-        self.most(limit) * self.excess + self.slack
+        self.max_in_window(limit) * self.excess + self.slack
     }
 
-    /// Requests a second in the long run, and how many may go at once beyond that.
+    /// Refill rate of the token bucket, in requests per second, and its size.
     ///
-    /// Two pairs keep the bound. With the limit's own, a team of 12 requests a second whose programs need 24 within 2 s
-    /// would have its second program wait for a second. The other spreads the burst over the window and takes the
-    /// tolerance for what comes at once; it is used unless the tolerance is small.
+    /// If the tolerance is large enough, the burst is spread over the window and the bucket holds the tolerance, so
+    /// that several programs in a row do not have to wait for the bucket to refill. Otherwise the limit's own rate and
+    /// burst are used.
     fn bucket(&self, limit: Limit) -> (f64, f64) {
-        let tolerated = self.tolerance(limit) * USED;
-        if tolerated < limit.burst / 2.0 {
+        let usable = self.tolerance(limit) * BUCKET_TOLERANCE_FRACTION;
+        if usable < limit.burst / 2.0 {
             return (limit.per_second, limit.burst.max(1.0));
         }
         (
-            self.most(limit) / self.window.as_secs_f64(),
-            tolerated.max(1.0),
+            self.max_in_window(limit) / self.window.as_secs_f64(),
+            usable.max(1.0),
         )
     }
 }
 
-/// How much of a limit a counter may grant, since another one may count beside it.
+/// The share of a limit that one counter may grant while another VM may be counting the same team.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Share {
-    /// All of it.
+    /// The whole limit: no other VM counts the team.
     Whole,
-    /// Half of it: one other may count, and grants the other half.
+    /// Half of the limit: one other VM may be granting the other half.
     Half,
-    /// This part of what may pass the limit: another one grants all of it.
+    /// This fraction of the tolerance: another VM may be granting the whole limit.
     Tolerance(f64),
 }
 
-/// What may be granted of a limit at one place.
+/// The share of a limit that this counter may grant.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Portion {
+struct LocalLimit {
     per_second: f64,
-    at_once: f64,
-    in_window: f64,
+    bucket_size: f64,
+    max_in_window: f64,
 }
 
-impl Portion {
-    fn of(bound: &Bound, limit: Limit, share: Share) -> Self {
-        let (per_second, at_once) = bound.bucket(limit);
+impl LocalLimit {
+    fn new(bound: &Bound, limit: Limit, share: Share) -> Self {
+        let (per_second, bucket_size) = bound.bucket(limit);
         let whole = Self {
             per_second,
-            at_once,
-            in_window: bound.most(limit),
+            bucket_size,
+            max_in_window: bound.max_in_window(limit),
         };
         match share {
             Share::Whole => whole,
-            Share::Half => whole.times(0.5),
-            Share::Tolerance(part) => {
-                let most = bound.tolerance(limit) * part;
+            Share::Half => whole.scaled(0.5),
+            Share::Tolerance(fraction) => {
+                let max = bound.tolerance(limit) * fraction;
                 Self {
-                    per_second: most / bound.window.as_secs_f64(),
-                    at_once: most.min(START),
-                    in_window: most,
+                    per_second: max / bound.window.as_secs_f64(),
+                    bucket_size: max.min(INITIAL_TOKENS),
+                    max_in_window: max,
                 }
             }
         }
     }
 
-    fn times(self, part: f64) -> Self {
+    fn scaled(self, factor: f64) -> Self {
         Self {
-            per_second: self.per_second * part,
-            at_once: (self.at_once * part).max(1.0),
-            in_window: self.in_window * part,
+            per_second: self.per_second * factor,
+            bucket_size: (self.bucket_size * factor).max(1.0),
+            max_in_window: self.max_in_window * factor,
         }
     }
 }
 
-/// The requests of one team.
+/// Token bucket and sliding window of one team.
 ///
 /// ```
 /// use std::time::Duration;
@@ -137,122 +135,129 @@
 /// ```
 #[derive(Debug)]
 pub struct Meter {
-    portion: Portion,
+    local_limit: LocalLimit,
     window: Duration,
-    /// Below zero where grants have been promised ahead.
-    level: f64,
-    at: Instant,
-    /// Grants by slices of time, the oldest first.
+    /// Content of the bucket; negative while granted requests have not been sent yet.
+    tokens: f64,
+    /// When the bucket was last refilled; in the future until a new counter may begin to grant.
+    refilled_at: Instant,
+    /// Start of each time slice and the requests sent in it, the oldest first.
     slices: VecDeque<(Instant, u32)>,
+    /// Sum of the counts in `slices`.
     granted: u32,
 }
 
 impl Meter {
-    /// A counter that begins at `since`, and of which nothing is known before.
+    /// Creates a counter that may grant from `since` on. Call `set` before the first request.
     #[must_use]
     pub fn new(since: Instant) -> Self {
         Self {
-            portion: Portion {
+            local_limit: LocalLimit {
                 per_second: 0.0,
-                at_once: START,
-                in_window: 0.0,
+                bucket_size: INITIAL_TOKENS,
+                max_in_window: 0.0,
             },
             window: Duration::ZERO,
-            level: START,
-            at: since,
+            tokens: INITIAL_TOKENS,
+            refilled_at: since,
             slices: VecDeque::new(),
             granted: 0,
         }
     }
 
-    /// Sets what may be granted from now on.
+    /// Sets the limit and the share of it that may be granted from `now` on.
     pub fn set(&mut self, now: Instant, bound: &Bound, limit: Limit, share: Share) {
-        let first = self.window.is_zero();
-        let portion = Portion::of(bound, limit, share);
-        if !first {
+        let unconfigured = self.window.is_zero();
+        let local_limit = LocalLimit::new(bound, limit, share);
+        if !unconfigured {
             self.refill(now);
         }
-        self.portion = portion;
+        self.local_limit = local_limit;
         self.window = bound.window;
         self.refill(now);
     }
 
+    /// Refills the bucket and removes slices that have left the window.
     fn refill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        let level = self.level + passed * self.portion.per_second;
-        self.level = level.min(self.portion.at_once);
-        let over = |slice: &(Instant, u32)| slice.0 + self.window + SLICE <= now;
-        while let Some((_, count)) = self.slices.pop_front_if(|slice| over(slice)) {
+        let elapsed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        let tokens = self.tokens + elapsed * self.local_limit.per_second;
+        self.tokens = tokens.min(self.local_limit.bucket_size);
+        let is_expired = |slice: &(Instant, u32)| slice.0 + self.window + SLICE <= now;
+        while let Some((_, count)) = self.slices.pop_front_if(|slice| is_expired(slice)) {
             self.granted -= count;
         }
     }
 
-    /// Grants one request; gives how long it has to wait before it is sent, at most `patience` and 300 ms.
+    /// Grants one request and returns how long to wait before sending it, which is at most `patience` and at most
+    /// [`AHEAD`].
     ///
     /// # Errors
-    /// The time after which one could go.
+    /// If the request would have to wait longer, the time it would have to wait.
     pub fn take(&mut self, now: Instant, patience: Duration) -> Result<Duration, Duration> {
         self.refill(now);
-        let wait = self.wait(now, 1.0);
+        let wait = self.wait_for(now, 1.0);
         if wait > patience.min(AHEAD) {
             return Err(wait);
         }
-        self.level -= 1.0;
+        self.tokens -= 1.0;
         self.granted += 1;
-        let sent = now + wait;
+        let sent_at = now + wait;
         match self.slices.back_mut() {
-            Some((at, count)) if *at + SLICE > sent => *count += 1,
-            _ => self.slices.push_back((sent, 1)),
+            Some((start, count)) if *start + SLICE > sent_at => *count += 1,
+            _ => self.slices.push_back((sent_at, 1)),
         }
         Ok(wait)
     }
 
-    /// How long it takes until `count` further requests could go.
-    fn wait(&self, now: Instant, count: f64) -> Duration {
-        let lacking = (count - self.level).max(0.0);
-        let rate = self.portion.per_second;
-        let by_level = if lacking > 0.0 && rate <= 0.0 {
+    /// Time until `count` more requests may be sent.
+    fn wait_for(&self, now: Instant, count: f64) -> Duration {
+        let missing = (count - self.tokens).max(0.0);
+        let rate = self.local_limit.per_second;
+        let bucket_wait = if missing > 0.0 && rate <= 0.0 {
             self.window
         } else {
-            Duration::from_secs_f64((lacking / rate.max(f64::MIN_POSITIVE)).min(3600.0))
+            Duration::from_secs_f64((missing / rate.max(f64::MIN_POSITIVE)).min(3600.0))
         };
-        let begins = self.at.saturating_duration_since(now);
-        (by_level + begins).max(self.wait_for_window(now, count))
+        let until_start = self.refilled_at.saturating_duration_since(now);
+        (bucket_wait + until_start).max(self.window_wait(now, count))
     }
 
-    fn wait_for_window(&self, now: Instant, count: f64) -> Duration {
-        let mut over = f64::from(self.granted) + count - self.portion.in_window;
-        for (at, granted) in &self.slices {
-            if over <= 0.0 {
+    /// Time until the sliding window has room for `count` more requests.
+    fn window_wait(&self, now: Instant, count: f64) -> Duration {
+        let mut excess = f64::from(self.granted) + count - self.local_limit.max_in_window;
+        for (start, granted) in &self.slices {
+            if excess <= 0.0 {
                 break;
             }
-            over -= f64::from(*granted);
-            if over <= 0.0 {
-                return (*at + self.window + SLICE).saturating_duration_since(now);
+            excess -= f64::from(*granted);
+            if excess <= 0.0 {
+                return (*start + self.window + SLICE).saturating_duration_since(now);
             }
         }
-        if over > 0.0 {
+        if excess > 0.0 {
             self.window
         } else {
             Duration::ZERO
         }
     }
 
-    /// Requests that could go within `time` from now on.
+    /// Number of requests that may be granted within `time` from the last refill on.
     #[must_use]
     pub fn within(&self, time: Duration) -> f64 {
-        let level = self.level + self.portion.per_second * time.as_secs_f64();
-        level.min(self.portion.in_window)
+        let tokens = self.tokens + self.local_limit.per_second * time.as_secs_f64();
+        tokens.min(self.local_limit.max_in_window)
     }
 
-    /// Requests a second in the long run.
+    /// Refill rate of the bucket, in requests per second.
     #[must_use]
     pub const fn per_second(&self) -> f64 {
-        self.portion.per_second
+        self.local_limit.per_second
     }
 
-    /// Requests granted within the window.
+    /// Number of requests granted in the current window.
     #[must_use]
     pub const fn granted(&self) -> u32 {
         self.granted
--- a/src/policy/pace.rs
+++ b/src/policy/pace.rs
@@ -1,30 +1,29 @@
-//! How fast the engines of a pool are, learned from the calls that they finished.
+//! Latency model of a pool's engines, learned from finished calls.
 
 use serde::{Deserialize, Serialize};
 
-/// Weight of the newest call in the learned averages.
-const NEWEST: f64 = 0.02;
-/// Weight of the newest call in the speed of one server.
-const NEWEST_OF_SERVER: f64 = 0.08;
-/// Time per token of a lone call before anything has been measured, in milliseconds.
-const ALONE_MS: f64 = 20.0;
-/// What each further call adds before anything has been measured, in milliseconds.
-const STEP_MS: f64 = 1.0;
-/// Time per prompt token that is not cached, before anything has been measured, in milliseconds.
-const PREFILL_MS: f64 = 0.1;
-/// How strongly the values assumed at first count, in calls.
-const PRIOR: f64 = 20.0;
-/// Calls in flight at the far end of the assumed line.
-const PRIOR_CALLS: f64 = 32.0;
-/// How many times faster or slower than assumed the engines must be for the assumed line to be
-/// moved to the level that was measured.
-const FAR: f64 = 2.0;
-/// The least time per token, and the least that a further call adds, as parts of the mean time.
-const LEAST_PARTS: (f64, f64) = (0.05, 0.0005);
-
-/// Time per token as a line over the calls in flight, and time per token of prefill.
+/// Weight of the newest call in the moving averages of the pool.
+const SAMPLE_WEIGHT: f64 = 0.02;
+/// Weight of the newest call in the moving average of one server.
+const SERVER_SAMPLE_WEIGHT: f64 = 0.08;
+/// Assumed time per token of a lone call, in milliseconds, until calls have been measured.
+const PRIOR_TOKEN_MS: f64 = 20.0;
+/// Assumed increase of the time per token for each further call in flight, in milliseconds.
+const PRIOR_SLOPE_MS: f64 = 1.0;
+/// Assumed time per uncached prompt token, in milliseconds, until calls have been measured.
+const PRIOR_PREFILL_MS: f64 = 0.1;
+/// Initial weight of the assumed line, in calls.
+const PRIOR_WEIGHT: f64 = 20.0;
+/// The assumed line enters the fit as two points: at no call and at this many calls in flight.
+const PRIOR_MAX_CALLS: f64 = 32.0;
+/// If engines are this many times faster or slower than assumed, the assumed line is scaled to the measured level.
+const PRIOR_MISMATCH_FACTOR: f64 = 2.0;
+/// Lower bounds of the fitted intercept and slope, as fractions of the mean time per token.
+const MIN_LINE_FRACTIONS: (f64, f64) = (0.05, 0.0005);
+
+/// Time per generated token as a linear function of the calls in flight, and time per prompt token of prefill.
 ///
-/// The line is a least-squares fit whose older samples fade.
+/// The line is a least-squares fit with exponentially decaying weights.
 ///
 /// ```
 /// use vanillatrail::policy::pace::Pace;
@@ -37,146 +36,147 @@
 #[derive(Debug, Clone)]
 pub struct Pace {
     weight: f64,
-    running: f64,
-    time: f64,
-    running_squared: f64,
-    product: f64,
-    prior: f64,
+    calls_sum: f64,
+    time_sum: f64,
+    calls_squared_sum: f64,
+    product_sum: f64,
+    /// Weight of the assumed line, which decays like that of old samples.
+    prior_weight: f64,
     prefill_ms: f64,
-    share: f64,
+    /// Mean fraction of `max_tokens` that calls generate.
+    output_fraction: f64,
 }
 
 impl Default for Pace {
     fn default() -> Self {
         Self {
             weight: 0.0,
-            running: 0.0,
-            time: 0.0,
-            running_squared: 0.0,
-            product: 0.0,
-            prior: PRIOR,
-            prefill_ms: PREFILL_MS,
-            share: 0.5,
+            calls_sum: 0.0,
+            time_sum: 0.0,
+            calls_squared_sum: 0.0,
+            product_sum: 0.0,
+            prior_weight: PRIOR_WEIGHT,
+            prefill_ms: PRIOR_PREFILL_MS,
+            output_fraction: 0.5,
         }
     }
 }
 
 impl Pace {
-    fn add(&mut self, running: f64, time: f64, weight: f64) {
+    fn add(&mut self, calls: f64, time_ms: f64, weight: f64) {
         self.weight += weight;
-        self.running += weight * running;
-        self.time += weight * time;
-        self.running_squared += weight * running * running;
-        self.product += weight * running * time;
+        self.calls_sum += weight * calls;
+        self.time_sum += weight * time_ms;
+        self.calls_squared_sum += weight * calls * calls;
+        self.product_sum += weight * calls * time_ms;
     }
 
-    /// Takes in the time per token of a call that ran among `running` calls, on a server that is
-    /// `ratio` times as slow as the line says.
-    pub fn token(&mut self, running: f64, time_ms: f64, ratio: f64) {
-        // Far from the assumed level a slow server can't be told from a pool that is slow, and
-        // divided times would never tell the line so.
-        let time_ms = match self.far_level() {
+    /// Adds the time per token of a call that ran with `calls` in flight, itself included, on a server that is `ratio`
+    /// times as slow as its pool.
+    pub fn token(&mut self, calls: f64, time_ms: f64, ratio: f64) {
+        // If the pool differs much from the assumed line, the ratio of a server to that line says nothing, and dividing
+        // by it would keep the line from moving.
+        let time_ms = match self.prior_mismatch() {
             Some(_) => time_ms,
             None => time_ms / ratio.max(1.0),
         };
-        let keep = 1.0 - NEWEST / 4.0;
+        let decay = 1.0 - SAMPLE_WEIGHT / 4.0;
         for sum in [
             &mut self.weight,
-            &mut self.running,
-            &mut self.time,
-            &mut self.running_squared,
-            &mut self.product,
-            &mut self.prior,
+            &mut self.calls_sum,
+            &mut self.time_sum,
+            &mut self.calls_squared_sum,
+            &mut self.product_sum,
+            &mut self.prior_weight,
         ] {
-            *sum *= keep;
+            *sum *= decay;
         }
-        self.add(running, time_ms, 1.0);
+        self.add(calls, time_ms, 1.0);
     }
 
-    /// Takes in the time per token of prompt that was not cached.
+    /// Adds the time per uncached prompt token of a call.
     pub fn prefill(&mut self, time_ms: f64) {
-        self.prefill_ms += NEWEST * (time_ms - self.prefill_ms);
+        self.prefill_ms += SAMPLE_WEIGHT * (time_ms - self.prefill_ms);
     }
 
-    /// Takes in how much of the most tokens allowed a call generated.
-    pub fn generated(&mut self, share: f64) {
-        self.share += NEWEST * (share - self.share);
+    /// Adds the fraction of its `max_tokens` that a call generated.
+    pub fn generated(&mut self, fraction: f64) {
+        self.output_fraction += SAMPLE_WEIGHT * (fraction - self.output_fraction);
     }
 
-    /// How many times as slow as assumed the engines are, where that is far from once.
-    fn far_level(&self) -> Option<f64> {
-        let assumed = ALONE_MS * self.weight + STEP_MS * self.running;
-        let level = self.time / assumed;
-        let near = level < FAR && level > FAR.recip();
-        (assumed > 0.0 && !near).then_some(level)
+    /// Measured time relative to the assumed line, if it differs by [`PRIOR_MISMATCH_FACTOR`] or more.
+    fn prior_mismatch(&self) -> Option<f64> {
+        let assumed = PRIOR_TOKEN_MS * self.weight + PRIOR_SLOPE_MS * self.calls_sum;
+        let scale = self.time_sum / assumed;
+        let is_near = scale < PRIOR_MISMATCH_FACTOR && scale > PRIOR_MISMATCH_FACTOR.recip();
+        (assumed > 0.0 && !is_near).then_some(scale)
     }
 
-    /// The time per token of a lone call, and what each further call adds.
+    /// Intercept and slope of the line: the time per token of a lone call, and the increase per further call.
     ///
-    /// The assumed line bends the fit of engines that are far from it: the times of a fast engine
-    /// with few calls, together with the assumed time of many, look like a time that grows steeply
-    /// with the calls. The window shrinks, and with few calls in flight nothing is measured that
-    /// could correct it. Moved to the measured level, the assumed line gives its shape alone.
+    /// Scaling the assumed line avoids a wrong slope where engines differ much from it: few calls on a fast engine
+    /// together with the assumed time of many calls would look like a steep line, the concurrency window would shrink,
+    /// and no measurement at high concurrency could correct it.
     fn line(&self) -> (f64, f64) {
-        let level = self.far_level().unwrap_or(1.0);
+        let scale = self.prior_mismatch().unwrap_or(1.0);
         let mut fit = self.clone();
-        for running in [0.0, PRIOR_CALLS] {
-            let time = level * (ALONE_MS + STEP_MS * running);
-            fit.add(running, time, self.prior / 2.0);
+        for calls in [0.0, PRIOR_MAX_CALLS] {
+            let time_ms = scale * (PRIOR_TOKEN_MS + PRIOR_SLOPE_MS * calls);
+            fit.add(calls, time_ms, self.prior_weight / 2.0);
         }
-        let mean = fit.time / fit.weight;
-        let spread = fit.weight * fit.running_squared - fit.running * fit.running;
-        let step = if spread > f64::EPSILON {
-            (fit.weight * fit.product - fit.running * fit.time) / spread
+        let mean = fit.time_sum / fit.weight;
+        let variance = fit.weight * fit.calls_squared_sum - fit.calls_sum * fit.calls_sum;
+        let slope = if variance > f64::EPSILON {
+            (fit.weight * fit.product_sum - fit.calls_sum * fit.time_sum) / variance
         } else {
             0.0
         };
-        let step = step.max(mean * LEAST_PARTS.1);
-        let alone = (fit.time - step * fit.running) / fit.weight;
-        (alone.max(mean * LEAST_PARTS.0), step)
+        let slope = slope.max(mean * MIN_LINE_FRACTIONS.1);
+        let intercept = (fit.time_sum - slope * fit.calls_sum) / fit.weight;
+        (intercept.max(mean * MIN_LINE_FRACTIONS.0), slope)
     }
 
-    /// Time per token among `running` calls, in milliseconds.
+    /// Time per token with `calls` in flight, in milliseconds.
     #[must_use]
-    pub fn token_ms(&self, running: f64) -> f64 {
-        let (alone, step) = self.line();
-        alone + step * running
+    pub fn token_ms(&self, calls: f64) -> f64 {
+        let (intercept, slope) = self.line();
+        intercept + slope * calls
     }
 
-    /// Time per token of prefill, in milliseconds.
+    /// Time per uncached prompt token, in milliseconds.
     #[must_use]
     pub const fn prefill_ms(&self) -> f64 {
         self.prefill_ms
     }
 
-    /// Tokens that a call is expected to generate.
+    /// Expected number of tokens generated by a call that is limited to `max_tokens`.
     #[must_use]
     pub fn expected(&self, max_tokens: f64) -> f64 {
-        max_tokens * self.share
+        max_tokens * self.output_fraction
     }
 
-    /// Calls at which a token takes `stretch` times as long as alone.
+    /// Number of calls in flight at which a token takes `slowdown` times as long as for a lone call.
     #[must_use]
-    pub fn calls_at(&self, stretch: f64) -> f64 {
-        let (alone, step) = self.line();
-        (stretch - 1.0) * alone / step
+    pub fn calls_at(&self, slowdown: f64) -> f64 {
+        let (intercept, slope) = self.line();
+        (slowdown - 1.0) * intercept / slope
     }
 }
 
-/// What a pool gives, as its dispatcher tells those that use it.
+/// Speed and capacity of a pool, as its dispatcher reports them with each lease.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rates {
-    /// Engine time of a prompt token that is not cached, in milliseconds.
+    /// Engine time per uncached prompt token, in milliseconds.
     pub prefill_ms: f64,
-    /// Engine time of a generated token in a full window, in milliseconds.
+    /// Engine time per generated token while the concurrency window is full, in milliseconds.
     pub token_ms: f64,
-    /// Engine time that the pool gives in each unit of time.
+    /// Engine time that the pool provides per unit of wall-clock time.
     pub capacity: f64,
 }
 
 impl Rates {
-    /// Engine time of a call, in milliseconds.
+    /// Engine time of a call with `fresh` uncached prompt tokens and `generated` tokens of output, in milliseconds.
     ///
     /// ```
     /// use vanillatrail::policy::pace::Rates;
@@ -189,7 +189,7 @@
     }
 }
 
-/// The speed of one server against the others of its pool; above one it is slower.
+/// Moving average of a server's time per token relative to its pool; above 1 the server is slower.
 #[derive(Debug, Clone, Copy)]
 pub struct Ratio(f64);
 
@@ -200,7 +200,7 @@
 }
 
 impl Ratio {
-    /// Takes in a call that took `measured` where the pool's line says `expected`.
+    /// Adds a call whose time per token was `measured` where the pool's line predicts `expected`.
     ///
     /// ```
     /// use vanillatrail::policy::pace::Ratio;
@@ -210,10 +210,10 @@
     /// ```
     pub fn take(&mut self, measured: f64, expected: f64) {
         let sample = (measured / expected.max(0.001)).clamp(0.2, 10.0);
-        self.0 += NEWEST_OF_SERVER * (sample - self.0);
+        self.0 += SERVER_SAMPLE_WEIGHT * (sample - self.0);
     }
 
-    /// The ratio.
+    /// The current ratio; 1 until a call has been measured.
     #[must_use]
     pub const fn get(self) -> f64 {
         self.0
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,113 +1,116 @@
-//! What the limit of a team is spent on: whole programs, as many as it carries.
+//! Admission control for the programs of a team.
 //!
-//! Load it answers: a team that begins several times as many programs as its limit carries. If whichever request
-//! comes over the limit were refused, each program would miss one of its requests, and the limit would be
-//! spent on programs of which none ends. So a new program is refused at its first request, by a forecast of what
-//! those under way still need; their own requests wait for the limit instead, and are refused last.
+//! A team may start several times as many programs as its limit carries. If arbitrary requests were refused, most
+//! programs would lose one of theirs and the limit would be spent on programs that never finish. So a new program is
+//! refused at its first request if the programs in progress are expected to use up the limit. Requests of admitted
+//! programs wait for the limit, and are refused only if the wait is too long.
 
 use super::limit::{Bound, Limit, Meter, Share};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Requests of a program before one of its class has ended.
+/// Assumed number of requests of a program until one of its class has ended.
 const PRIOR_REQUESTS: f64 = 8.0;
-/// How long one lasts before one of its class has ended.
-const PRIOR_TIME: Duration = Duration::from_secs(1);
-/// How many times the limit the forecasts of programs under way may be: at first, at least and at most. Most wait
-/// between their requests, and which share fits differs by team.
-const FIT: (f64, f64, f64) = (1.2, 0.8, 2.0);
-/// What a program that ended with no request refused adds to that.
-const GAIN: f64 = 0.02;
-/// What one takes away of which a request was refused: the limit was promised to too many.
-const LOSS: f64 = 0.1;
-/// Weight of the newest program in what is learned of its class.
-const NEWEST: f64 = 0.05;
-/// How long a program makes no request before it counts as ended: tools take up to 1.5 s and callers pause for up
-/// to 0.6 s.
-const IDLE: Duration = Duration::from_millis(2500);
-/// How long a counter takes programs that it meets for ones that began before it counted.
-const MET: Duration = Duration::from_secs(4);
-/// The bounds of the time after which a refused caller may come back.
-const COME_BACK: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(3));
-/// Programs of one team that are remembered.
-const PROGRAMS: usize = 20_000;
+/// Assumed duration of a program until one of its class has ended, and the minimum that admission plans with.
+const PRIOR_DURATION: Duration = Duration::from_secs(1);
+/// Initial value, minimum and maximum of the overcommit factor: how many times the limit the programs in progress may
+/// be expected to need. Programs pause between requests, so the factor that fits differs by team.
+const OVERCOMMIT: (f64, f64, f64) = (1.2, 0.8, 2.0);
+/// Added to the overcommit factor when a program ends with no request refused.
+const OVERCOMMIT_INCREASE: f64 = 0.02;
+/// Subtracted from the overcommit factor when an admitted program has a request refused.
+const OVERCOMMIT_DECREASE: f64 = 0.1;
+/// Weight of the newest program in the moving averages of its class.
+const SAMPLE_WEIGHT: f64 = 0.05;
+/// Time without a request after which a program counts as ended; longer than most tool calls and pauses of callers.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// For this long after a counter starts, programs new to it are taken as started before, and admitted.
+const TAKEOVER_PERIOD: Duration = Duration::from_secs(4);
+/// Minimum and maximum of the time after which a refused caller may retry.
+const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(3));
+/// Most programs of one team that are tracked.
+const MAX_PROGRAMS: usize = 20_000;
 
 /// A request of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Request {
-    /// Its program, by a hash.
+    /// Hash of the program's id; `None` for requests outside a program.
     pub program: Option<u64>,
-    /// The class of programs that its route tells of, by a hash; none on routes that begin no program.
+    /// Hash of the program class that the route starts; `None` on routes that start no program.
     pub class: Option<u64>,
-    /// How long it may wait.
+    /// Longest time the request may wait before it is sent.
     pub patience: Duration,
 }
 
-/// Whether a request may go.
+/// The decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may, after this time.
+    /// The request may be sent after this time.
     Granted(Duration),
-    /// Not now; it may come back after this time.
+    /// The request is refused; the caller may retry after this time.
     Refused(Duration),
 }
 
-/// What programs of a class need.
+/// Expected demand of one program.
 #[derive(Debug, Clone, Copy)]
-struct Need {
+struct Demand {
     requests: f64,
     seconds: f64,
 }
 
-/// What programs need, by class; learned from those that have ended.
+/// Expected demand of programs by class, learned from programs that have ended.
 #[derive(Debug, Default)]
 pub struct Needs {
-    classes: HashMap<u64, Need>,
+    classes: HashMap<u64, Demand>,
 }
 
 impl Needs {
-    fn of(&self, class: u64) -> Need {
-        let prior = Need {
+    fn expected(&self, class: u64) -> Demand {
+        let prior = Demand {
             requests: PRIOR_REQUESTS,
-            seconds: PRIOR_TIME.as_secs_f64(),
+            seconds: PRIOR_DURATION.as_secs_f64(),
         };
         self.classes.get(&class).copied().unwrap_or(prior)
     }
 
     fn learn(&mut self, program: &Program) {
-        let seconds = program.seen.duration_since(program.begun).as_secs_f64();
+        let seconds = program
+            .last_request_at
+            .duration_since(program.started_at)
+            .as_secs_f64();
         let requests = f64::from(program.requests);
-        let sample = Need { requests, seconds };
-        let need = self.classes.entry(program.class).or_insert(sample);
-        need.requests += NEWEST * (requests - need.requests);
-        need.seconds += NEWEST * (seconds - need.seconds);
+        let sample = Demand { requests, seconds };
+        let demand = self.classes.entry(program.class).or_insert(sample);
+        demand.requests += SAMPLE_WEIGHT * (requests - demand.requests);
+        demand.seconds += SAMPLE_WEIGHT * (seconds - demand.seconds);
     }
 }
 
-/// A program that was admitted.
+/// An admitted program.
 #[derive(Debug)]
 struct Program {
     class: u64,
+    /// Requests granted so far.
     requests: u32,
-    begun: Instant,
-    seen: Instant,
-    /// Whether it was seen from its first request on.
-    whole: bool,
+    started_at: Instant,
+    last_request_at: Instant,
+    /// Whether it was tracked from its first request and had none refused. Only such programs are learned from.
+    is_complete: bool,
 }
 
-/// The limit of one team, and the programs that it is spent on.
+/// Rate limiter of one team, with admission control for its programs.
 #[derive(Debug)]
 pub struct Quota {
     since: Instant,
     meter: Meter,
     programs: HashMap<u64, Program>,
-    /// How many times the limit is promised.
-    fit: f64,
+    /// How many times the limit the programs in progress may be expected to need.
+    overcommit: f64,
 }
 
 impl Quota {
-    /// A counter of which nothing is known before `since`.
+    /// Creates a counter that may grant from `since` on and knows no earlier grants.
     ///
     /// ```
     /// let quota = vanillatrail::policy::quota::Quota::new(tokio::time::Instant::now());
@@ -119,43 +122,43 @@
             since,
             meter: Meter::new(since),
             programs: HashMap::new(),
-            fit: FIT.0,
+            overcommit: OVERCOMMIT.0,
         }
     }
 
-    /// Sets what may be granted from now on.
+    /// Sets the limit and the share of it that may be granted from `now` on.
     pub fn set(&mut self, now: Instant, bound: &Bound, limit: Limit, share: Share) {
         self.meter.set(now, bound, limit, share);
     }
 
-    /// Decides on one request.
+    /// Grants or refuses one request, and admits its program if it is new.
     pub fn ask(&mut self, now: Instant, needs: &mut Needs, request: Request) -> Verdict {
         if let Some(program) = request.program
             && !self.programs.contains_key(&program)
             && let Some(class) = request.class
         {
-            self.end_idle(now, needs);
-            let met = now.saturating_duration_since(self.since) < MET;
-            if !met && let Some(back) = self.unfit(needs, class) {
-                return refused(back);
+            self.remove_idle(now, needs);
+            let after_takeover = now.saturating_duration_since(self.since) < TAKEOVER_PERIOD;
+            if !after_takeover && let Some(retry_after) = self.retry_after_if_full(needs, class) {
+                return refused(retry_after);
             }
-            self.admit(now, program, class, !met);
+            self.add_program(now, program, class, !after_takeover);
         }
         match self.meter.take(now, request.patience) {
             Ok(wait) => {
-                self.note(now, request.program);
+                self.record_grant(now, request.program);
                 Verdict::Granted(wait)
             }
             Err(wait) => {
-                self.break_off(request.program);
+                self.record_refusal(request.program);
                 refused(wait)
             }
         }
     }
 
-    /// A program that missed a request may end early, and nothing is learned from it; one that missed its first has
-    /// not begun.
-    fn break_off(&mut self, program: Option<u64>) {
+    /// Removes a program whose first request was refused. One that loses a later request may end early, so it is not
+    /// learned from.
+    fn record_refusal(&mut self, program: Option<u64>) {
         let Some(key) = program else {
             return;
         };
@@ -166,79 +169,79 @@
             self.programs.remove(&key);
             return;
         }
-        if std::mem::replace(&mut program.whole, false) {
-            self.fit = (self.fit - LOSS).max(FIT.1);
+        if std::mem::replace(&mut program.is_complete, false) {
+            self.overcommit = (self.overcommit - OVERCOMMIT_DECREASE).max(OVERCOMMIT.1);
         }
     }
 
-    fn note(&mut self, now: Instant, program: Option<u64>) {
+    fn record_grant(&mut self, now: Instant, program: Option<u64>) {
         let program = program.and_then(|program| self.programs.get_mut(&program));
         if let Some(program) = program {
             program.requests += 1;
-            program.seen = now;
+            program.last_request_at = now;
         }
     }
 
-    fn admit(&mut self, now: Instant, program: u64, class: u64, whole: bool) {
-        if self.programs.len() >= PROGRAMS {
+    fn add_program(&mut self, now: Instant, program: u64, class: u64, is_complete: bool) {
+        if self.programs.len() >= MAX_PROGRAMS {
             self.programs.clear();
         }
-        let begun = Program {
+        let started = Program {
             class,
             requests: 0,
-            begun: now,
-            seen: now,
-            whole,
+            started_at: now,
+            last_request_at: now,
+            is_complete,
         };
-        self.programs.insert(program, begun);
+        self.programs.insert(program, started);
     }
 
-    /// When a new program may come back that the limit does not carry beside those under way.
-    fn unfit(&self, needs: &Needs, class: u64) -> Option<Duration> {
+    /// If the limit does not carry a new program of this class, returns the time after which it may.
+    fn retry_after_if_full(&self, needs: &Needs, class: u64) -> Option<Duration> {
         if self.programs.is_empty() {
-            // It may need more than the limit ever carries, and is to run all the same.
+            // A program that needs more than the limit carries must still be able to run alone.
             return None;
         }
-        let need = needs.of(class);
-        let rest = self.programs.values().map(|program| {
-            let of_class = needs.of(program.class).requests;
-            (of_class - f64::from(program.requests)).max(1.0)
+        let demand = needs.expected(class);
+        let remaining = self.programs.values().map(|program| {
+            let expected = needs.expected(program.class).requests;
+            (expected - f64::from(program.requests)).max(1.0)
         });
-        let rest: f64 = rest.sum();
-        let time = Duration::from_secs_f64(need.seconds).max(PRIOR_TIME);
-        let lacking = (rest + need.requests) / self.fit - self.meter.within(time);
+        let remaining: f64 = remaining.sum();
+        let duration = Duration::from_secs_f64(demand.seconds).max(PRIOR_DURATION);
+        let missing = (remaining + demand.requests) / self.overcommit - self.meter.within(duration);
         let rate = self.meter.per_second().max(0.1);
-        (lacking > 0.0).then(|| Duration::from_secs_f64(lacking / rate))
+        (missing > 0.0).then(|| Duration::from_secs_f64(missing / rate))
     }
 
-    /// Forgets programs that have ended, and learns from them.
-    fn end_idle(&mut self, now: Instant, needs: &mut Needs) {
-        let mut whole = 0.0;
+    /// Removes programs that have ended, and learns from them.
+    fn remove_idle(&mut self, now: Instant, needs: &mut Needs) {
+        let mut completed = 0.0;
         self.programs.retain(|_, program| {
-            let ended = program.seen + IDLE <= now;
-            if ended && program.whole {
+            let ended = program.last_request_at + IDLE_TIMEOUT <= now;
+            if ended && program.is_complete {
                 needs.learn(program);
-                whole += 1.0;
+                completed += 1.0;
             }
             !ended
         });
-        self.fit = (self.fit + GAIN * whole).min(FIT.2);
+        self.overcommit = (self.overcommit + OVERCOMMIT_INCREASE * completed).min(OVERCOMMIT.2);
     }
 
-    /// Requests granted within the window.
+    /// Number of requests granted in the current window.
     #[must_use]
     pub const fn granted(&self) -> u32 {
         self.meter.granted()
     }
 
-    /// Programs under way.
+    /// Number of programs in progress.
     #[must_use]
     pub fn programs(&self) -> usize {
         self.programs.len()
     }
 }
 
-fn refused(back: Duration) -> Verdict {
-    let (least, most) = COME_BACK;
-    Verdict::Refused(back.clamp(least, most))
+fn refused(retry_after: Duration) -> Verdict {
+    let (min, max) = RETRY_AFTER;
+    Verdict::Refused(retry_after.clamp(min, max))
 }
