--- a/src/policy/admit.rs
+++ b/src/policy/admit.rs
@@ -1,37 +1,37 @@
-//! Whether a program may start: refused at once when the engines cannot finish it in time.
+//! Admission control: refuses a new program at once if the engines cannot finish it in time.
 
 use crate::id::Program;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Width of the first slots of demand, in milliseconds.
-const SLOT_MS: i64 = 1000;
-/// Share of the capacity that is promised at first.
-const START: f64 = 0.9;
-/// The bounds of that share.
-const SHARE: (f64, f64) = (0.2, 1.3);
-/// What a program that made its target adds to the share.
-const GAIN: f64 = 0.0006;
-/// What one that missed it takes away.
-const LOSS: f64 = 0.02;
-/// The longest time to come back that is told.
-const LONGEST: Duration = Duration::from_mins(10);
-/// The shortest one.
-const SHORTEST: Duration = Duration::from_millis(500);
+/// Minimum width of a slot of deadlines.
+const MIN_SLOT_MS: i64 = 1000;
+/// Initial share of the capacity that may be reserved.
+const INITIAL_SHARE: f64 = 0.9;
+/// Minimum and maximum of the share of the capacity that may be reserved.
+const SHARE_BOUNDS: (f64, f64) = (0.2, 1.3);
+/// Added to the share when an admitted program meets its target.
+const SHARE_INCREASE: f64 = 0.0006;
+/// Subtracted from the share when an admitted program misses its target.
+const SHARE_DECREASE: f64 = 0.02;
+const MAX_RETRY_AFTER: Duration = Duration::from_mins(10);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
+/// Engine time reserved for one program.
 #[derive(Debug, Clone, Copy)]
-struct Promise {
-    slot: i64,
+struct Reservation {
+    /// End of the slot of the deadline, in milliseconds since the epoch.
+    slot_end: i64,
     work_ms: f64,
-    late: bool,
+    /// Whether the program has been counted as missing its target.
+    is_late: bool,
 }
 
-/// The engine time promised to programs under way, by the time when it is due.
+/// Engine time reserved for programs in progress, by deadline.
 ///
-/// A program is admitted when, for every deadline from its own on, the work due by then fits into
-/// a share of the capacity until then. The share is corrected by how many admitted programs make
-/// their target.
+/// A program is admitted if, for its own deadline and every later one, the work due by then fits into a share of the
+/// capacity until then. The share rises when admitted programs meet their targets and falls when they miss them.
 ///
 /// ```
 /// use std::time::Duration;
@@ -47,29 +47,31 @@
 /// ```
 #[derive(Debug)]
 pub struct Gate {
-    promises: HashMap<Program, Promise>,
-    slots: BTreeMap<i64, f64>,
+    reservations: HashMap<Program, Reservation>,
+    /// Reserved engine time in milliseconds, by the end of the slot of its deadline.
+    work_by_slot: BTreeMap<i64, f64>,
     share: f64,
+    /// Time of the first call; slots count from it.
     epoch: Option<Instant>,
 }
 
 impl Default for Gate {
     fn default() -> Self {
         Self {
-            promises: HashMap::new(),
-            slots: BTreeMap::new(),
-            share: START,
+            reservations: HashMap::new(),
+            work_by_slot: BTreeMap::new(),
+            share: INITIAL_SHARE,
             epoch: None,
         }
     }
 }
 
 impl Gate {
-    /// Whether a program with `work_ms` of engine time due by `deadline` fits beside those under
-    /// way, where the engines give `capacity` of engine time in each unit of time.
+    /// Checks whether a program that needs `work_ms` of engine time by `deadline` fits beside those in progress, where
+    /// `capacity` is the engine time that the engines provide per unit of wall-clock time.
     ///
     /// # Errors
-    /// The time after which it would fit, if nothing else came.
+    /// If it does not fit, the time after which it would if no other program were admitted.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -77,96 +79,103 @@
         work_ms: f64,
         capacity: f64,
     ) -> Result<(), Duration> {
-        let clock = self.clock(now);
-        let slot = slot(clock, self.clock(deadline));
+        let now_ms = self.millis(now);
+        let slot_end = slot_end(now_ms, self.millis(deadline));
         let rate = (capacity * self.share).max(0.001);
-        let mut due = work_ms;
-        let mut worst: f64 = due - rate * (self.clock(deadline) - clock) as f64;
-        for (at, work) in &self.slots {
-            due += work;
-            if *at >= slot {
-                let until = (at - clock).max(1) as f64;
-                worst = worst.max(due - rate * until);
+        let mut due_ms = work_ms;
+        let mut max_excess_ms: f64 = due_ms - rate * (self.millis(deadline) - now_ms) as f64;
+        for (end, work) in &self.work_by_slot {
+            due_ms += work;
+            if *end >= slot_end {
+                let left_ms = (end - now_ms).max(1) as f64;
+                max_excess_ms = max_excess_ms.max(due_ms - rate * left_ms);
             }
         }
-        if worst <= 0.0 {
+        if max_excess_ms <= 0.0 {
             return Ok(());
         }
-        let wait = Duration::from_secs_f64(worst / rate / 1000.0);
-        Err(wait.clamp(SHORTEST, LONGEST))
+        let wait = Duration::from_secs_f64(max_excess_ms / rate / 1000.0);
+        Err(wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
-    /// Notes what a program under way still needs, and by when; replaces what was noted before.
+    /// Reserves the engine time that a program in progress still needs. Replaces its previous reservation.
     pub fn promise(&mut self, now: Instant, program: Program, deadline: Instant, work_ms: f64) {
-        let late = self.promises.get(&program).is_some_and(|old| old.late);
+        let is_late = self
+            .reservations
+            .get(&program)
+            .is_some_and(|old| old.is_late);
         self.drop(program);
-        let slot = slot(self.clock(now), self.clock(deadline));
-        *self.slots.entry(slot).or_default() += work_ms;
-        let promise = Promise {
-            slot,
+        let slot_end = slot_end(self.millis(now), self.millis(deadline));
+        *self.work_by_slot.entry(slot_end).or_default() += work_ms;
+        let reservation = Reservation {
+            slot_end,
             work_ms,
-            late,
+            is_late,
         };
-        self.promises.insert(program, promise);
+        self.reservations.insert(program, reservation);
     }
 
-    /// A program is seen to miss its target. Learned at once, since its end may be far off.
+    /// Notes that a program is going to miss its target. The share falls at once, since the program may run on for
+    /// long. Repeated calls for a program have no effect.
     pub fn late(&mut self, program: Program) {
-        if let Some(promise) = self.promises.get_mut(&program)
-            && !promise.late
+        if let Some(reservation) = self.reservations.get_mut(&program)
+            && !reservation.is_late
         {
-            promise.late = true;
-            self.learn(-LOSS);
+            reservation.is_late = true;
+            self.adjust_share(-SHARE_DECREASE);
         }
     }
 
-    /// A program has ended, or is no longer waited for.
+    /// Releases the reservation of a program, without learning from it.
     pub fn drop(&mut self, program: Program) {
-        let Some(Promise { slot, work_ms, .. }) = self.promises.remove(&program) else {
+        let Some(Reservation {
+            slot_end, work_ms, ..
+        }) = self.reservations.remove(&program)
+        else {
             return;
         };
-        if let Some(work) = self.slots.get_mut(&slot) {
+        if let Some(work) = self.work_by_slot.get_mut(&slot_end) {
             *work -= work_ms;
             if *work <= 0.001 {
-                self.slots.remove(&slot);
+                self.work_by_slot.remove(&slot_end);
             }
         }
     }
 
-    /// Learns from an admitted program that has ended.
+    /// Adjusts the share by an admitted program that has ended, and releases its reservation.
     pub fn ended(&mut self, program: Program, in_target: bool) {
         if in_target {
-            self.learn(GAIN);
+            self.adjust_share(SHARE_INCREASE);
         } else {
             self.late(program);
         }
         self.drop(program);
     }
 
-    fn learn(&mut self, change: f64) {
-        self.share = (self.share + change).clamp(SHARE.0, SHARE.1);
+    fn adjust_share(&mut self, change: f64) {
+        self.share = (self.share + change).clamp(SHARE_BOUNDS.0, SHARE_BOUNDS.1);
     }
 
-    /// The share of the capacity that is promised.
+    /// The share of the capacity that may be reserved.
     #[must_use]
     pub const fn share(&self) -> f64 {
         self.share
     }
 
-    fn clock(&mut self, at: Instant) -> i64 {
+    fn millis(&mut self, at: Instant) -> i64 {
         let epoch = *self.epoch.get_or_insert(at);
-        let since = at.saturating_duration_since(epoch).as_millis();
-        i64::try_from(since).unwrap_or(i64::MAX)
+        let elapsed = at.saturating_duration_since(epoch).as_millis();
+        i64::try_from(elapsed).unwrap_or(i64::MAX)
     }
 }
 
-/// The end of the slot of a deadline: slots are wider the further away they are, so that their
+/// End of the slot that contains `deadline`, in milliseconds. Slots are wider the further away they are, so that their
 /// number stays small.
-fn slot(now: i64, deadline: i64) -> i64 {
-    let away = (deadline - now).max(SLOT_MS);
-    let width = (away / 16).max(SLOT_MS);
-    let width = SLOT_MS * (width / SLOT_MS).max(1);
+fn slot_end(now_ms: i64, deadline_ms: i64) -> i64 {
+    let left_ms = (deadline_ms - now_ms).max(MIN_SLOT_MS);
+    let width = (left_ms / 16).max(MIN_SLOT_MS);
+    let width = MIN_SLOT_MS * (width / MIN_SLOT_MS).max(1);
     #[expect(clippy::cast_sign_loss, reason = "the width is positive")]
     let width = (width as u64).next_power_of_two().cast_signed();
-    (deadline / width + 1) * width
+    (deadline_ms / width + 1) * width
 }
--- a/src/policy/cells.rs
+++ b/src/policy/cells.rs
@@ -1,21 +1,21 @@
-//! Where VMs leave their introductions at the store, and which VMs read all of them.
+//! Assigns VMs to cells, the partitions of the store in which they publish their contact records.
 //!
-//! Load it answers: a thousand VMs that start in the same second. Where each reads the introductions of all, what the
-//! store sends grows with the square of the VMs, and a single partition takes their writes one by one. VMs are spread
-//! over cells, each a partition of the store. A VM reads its cell, and one VM of a cell reads all cells for the others.
+//! If every VM read the records of all VMs, the load on the store would grow with the square of their number, and a
+//! single partition would take all writes one after the other. So a VM writes to and reads its own cell, and one VM of
+//! each cell reads all cells for the others.
 
 use super::relay::{Peer, ranked};
 use crate::id::{Vm, Zone};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Cells of one availability zone.
-const PER_ZONE: u64 = 4;
-/// The key of the order of VMs within a cell.
-const KEY: &str = "introductions";
+/// Number of cells over which the VMs of one availability zone are spread.
+const CELLS_PER_ZONE: u64 = 4;
+/// Rendezvous key of the ranking within a cell.
+const RANK_KEY: &str = "introductions";
 
-/// The cell of a VM, of so many.
+/// The cell of a VM, where `cells` is the number of cells.
 ///
-/// VMs of one zone share cells, so that what they tell each other stays in the zone.
+/// VMs of one zone share a few cells, which keeps their traffic within the zone.
 ///
 /// ```
 /// use vanillatrail::policy::cells::cell;
@@ -25,12 +25,12 @@
 #[must_use]
 pub fn cell(vm: &Vm, zone: &Zone, cells: u64) -> u64 {
     let zone = xxh3_64(zone.as_str().as_bytes()) % cells;
-    let vm = xxh3_64(vm.as_str().as_bytes()) % PER_ZONE;
+    let vm = xxh3_64(vm.as_str().as_bytes()) % CELLS_PER_ZONE;
     (zone + vm) % cells
 }
 
-/// The VMs of a cell that read all cells, the one that should first.
+/// The VMs of a cell, in the order in which they are preferred to read all cells.
 #[must_use]
 pub fn readers(cell: &[Peer]) -> Vec<&Peer> {
-    ranked(KEY, cell)
+    ranked(RANK_KEY, cell)
 }
--- a/src/policy/copies.rs
+++ b/src/policy/copies.rs
@@ -1,25 +1,24 @@
-//! Which VMs are asked for a copy of the configuration and the directory.
+//! Orders the VMs that may be asked for a copy of the configuration and the directory.
 //!
-//! Load it answers: hundreds of VMs that start at once, each before it has read thousands of registrations.
-//! A copy holds all of them. What crosses zones is paid for.
+//! VMs that start fetch such a copy instead of reading all registrations from the store. Traffic between zones costs
+//! money.
 
 use rand::Rng;
 use rand::seq::SliceRandom;
 use std::net::SocketAddr;
 
-/// A VM that may have a copy.
+/// A VM that may serve a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holder {
-    /// Where it gives copies.
+    /// Address at which it serves copies.
     pub address: SocketAddr,
     /// Whether it is in the zone of the VM that asks.
     pub near: bool,
-    /// Whether it has the newest configuration that anybody has.
+    /// Whether it has the newest configuration version known to any VM.
     pub newest: bool,
 }
 
-/// Orders those that may have a copy: the newest first, of these the near ones, else at random, so that
-/// no VM is asked by all.
+/// Sorts by newest configuration, then by same zone. VMs that are equal in both are shuffled, to spread the load.
 ///
 /// ```
 /// use vanillatrail::policy::copies::{Holder, order};
--- a/src/policy/forecast.rs
+++ b/src/policy/forecast.rs
@@ -1,4 +1,4 @@
-//! The owner's side of the policy: what its programs still need, and which of them may start.
+//! Estimates what the programs of an owner still need, and decides which programs may start.
 
 use super::admit::Gate;
 use super::estimate::{Estimator, Rest, Track};
@@ -8,51 +8,52 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The quantile of what remains that slack counts with.
-const QUANTILE: f64 = 0.6;
-/// Share of the target that a program of an unknown class is taken to need.
-const UNKNOWN: f64 = 0.3;
-/// The most that it is taken to need.
-const UNKNOWN_MOST: Duration = Duration::from_secs(30);
-/// Share of the remaining time past which a program is taken as late.
-const LATE: f64 = 0.7;
-/// Weight of the newest pause in the mean of a class.
-const NEWEST: f64 = 0.05;
+/// Quantile of the remaining time that slack is computed from.
+const REMAINING_QUANTILE: f64 = 0.6;
+/// Assumed remaining time of programs of an unknown class, as a fraction of the target.
+const PRIOR_TARGET_FRACTION: f64 = 0.3;
+/// Maximum of the remaining time assumed for programs of an unknown class.
+const MAX_PRIOR_REMAINING: Duration = Duration::from_secs(30);
+/// A program counts as late when its slack is negative by more than this fraction of its remaining time.
+const LATE_FRACTION: f64 = 0.7;
+/// Weight of the newest pause in the moving average of a class.
+const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// What the forecast is told of a program that starts.
+/// A program that starts, or that this owner first sees after a takeover.
 #[derive(Debug, Clone)]
 pub struct Start {
-    /// Its class.
+    /// Class of the program.
     pub class: Class,
-    /// The program that spawned it.
+    /// The program that spawned it; `None` if a caller opened it.
     pub parent: Option<Program>,
-    /// The target of the class.
+    /// Target duration of the class.
     pub target: Duration,
-    /// When the program that a caller opened should have ended.
+    /// When the program should have ended. Sub-agents use that of their topmost tracked ancestor.
     pub deadline: Instant,
-    /// Whether a caller waits for the end.
+    /// Whether a caller waits for the end; programs that nobody waits for are always admitted.
     pub waiting: bool,
-    /// Model calls that it has made, when it is met again after a takeover.
+    /// Model calls made so far; above 0 only after a takeover.
     pub answers: usize,
 }
 
 /// How urgent the next call of a program is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Urgency {
-    /// Time left less the estimate of what remains; below zero when it is late.
+    /// Time until the deadline minus the estimated remaining time; negative if the program is expected to be late.
     pub slack_ms: i64,
-    /// The estimate of what remains.
+    /// Estimated remaining time of the program and of those that wait for it, in milliseconds.
     pub remaining_ms: u64,
 }
 
 #[derive(Debug)]
-struct Live {
+struct ActiveProgram {
     start: Start,
     track: Track,
-    answered: Option<Instant>,
+    /// When its last model call ended; `None` before the first and while a call is in flight.
+    last_answer: Option<Instant>,
 }
 
-/// Programs under way and what is learned from them.
+/// Tracks the programs in progress, and learns how long programs of each class take.
 ///
 /// ```
 /// use std::time::Duration;
@@ -78,21 +79,23 @@
 pub struct Forecast {
     estimator: Estimator,
     gate: Gate,
+    /// `None` until the dispatcher has reported them.
     rates: Option<Rates>,
-    live: HashMap<Program, Live>,
+    programs: HashMap<Program, ActiveProgram>,
+    /// Mean time between two model calls, in seconds.
     pauses: HashMap<Class, f64>,
 }
 
 impl Forecast {
-    /// Takes in what the dispatcher of the pool has measured.
+    /// Stores the newest rates reported by the dispatcher of the pool.
     pub fn rates(&mut self, rates: Rates) {
         self.rates = Some(rates);
     }
 
-    /// Whether a program may start, where `share` of the pool's capacity is for its owner.
+    /// Checks whether a program may start, where `share` is this owner's fraction of the pool's capacity.
     ///
     /// # Errors
-    /// The time to come back.
+    /// If it may not, the time after which to retry.
     pub fn admit(&mut self, now: Instant, start: &Start, share: f64) -> Result<(), Duration> {
         let Some(rates) = self.rates else {
             return Ok(());
@@ -100,77 +103,79 @@
         if start.parent.is_some() || !start.waiting {
             return Ok(());
         }
-        let work_ms = self.rest(start, start.answers).work_ms;
+        let work_ms = self.remaining(start, start.answers).work_ms;
         let capacity = rates.capacity * share;
         self.gate.admit(now, start.deadline, work_ms, capacity)
     }
 
-    /// A program has started, or is met for the first time after a takeover.
+    /// Starts to track a program that has started, or that is first seen after a takeover.
     pub fn start(&mut self, now: Instant, program: Program, start: Start) {
         let track = Track::after(start.answers);
-        let live = Live {
+        let active = ActiveProgram {
             start,
             track,
-            answered: None,
+            last_answer: None,
         };
-        self.live.insert(program, live);
-        self.promise(now, program);
+        self.programs.insert(program, active);
+        self.reserve(now, program);
     }
 
-    /// Programs that are known here.
+    /// Number of tracked programs.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.live.len()
+        self.programs.len()
     }
 
-    /// Whether no program is known here.
+    /// Whether no program is tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.live.is_empty()
+        self.programs.is_empty()
     }
 
-    /// Drops the programs that are no longer run here, without learning from them.
-    pub fn keep(&mut self, stays: impl Fn(Program) -> bool) {
-        let gone: Vec<Program> = self
-            .live
+    /// Removes the programs for which `is_kept` returns false, without learning from them.
+    pub fn keep(&mut self, is_kept: impl Fn(Program) -> bool) {
+        let removed: Vec<Program> = self
+            .programs
             .keys()
             .copied()
-            .filter(|program| !stays(*program))
+            .filter(|program| !is_kept(*program))
             .collect();
-        for program in gone {
-            self.live.remove(&program);
+        for program in removed {
+            self.programs.remove(&program);
             self.gate.drop(program);
         }
     }
 
-    /// Whether the program is known here.
+    /// Whether the program is tracked.
     #[must_use]
     pub fn knows(&self, program: Program) -> bool {
-        self.live.contains_key(&program)
+        self.programs.contains_key(&program)
     }
 
-    /// How urgent the next call of a program is; none for a program that is not known.
+    /// Urgency of the next model call of a program; `None` if the program is not tracked. Also
+    /// records the time since its previous call.
     pub fn urgency(&mut self, now: Instant, program: Program) -> Option<Urgency> {
-        self.resume(now, program);
-        let rest = self.whole(program)?;
+        self.end_pause(now, program);
+        let remaining = self.remaining_with_ancestors(program)?;
         let root = self.root(program);
-        self.promise(now, root);
-        let start = &self.live.get(&root)?.start;
+        self.reserve(now, root);
+        let start = &self.programs.get(&root)?.start;
         let left = start.deadline.saturating_duration_since(now).as_secs_f64()
             - now.saturating_duration_since(start.deadline).as_secs_f64();
-        let slack = left - rest.time.as_secs_f64();
-        if start.waiting && slack < -LATE * rest.time.as_secs_f64() {
+        let slack = left - remaining.time.as_secs_f64();
+        if start.waiting && slack < -LATE_FRACTION * remaining.time.as_secs_f64() {
             self.gate.late(root);
         }
         #[expect(clippy::cast_possible_truncation, reason = "milliseconds")]
         let slack_ms = (slack * 1000.0) as i64;
         Some(Urgency {
             slack_ms,
-            remaining_ms: u64::try_from(rest.time.as_millis()).unwrap_or(u64::MAX),
+            remaining_ms: u64::try_from(remaining.time.as_millis()).unwrap_or(u64::MAX),
         })
     }
 
-    /// An engine has answered after `took`, with `fresh` tokens of prompt that were not cached.
+    /// Records a model call that ended after `took`, with `fresh` uncached prompt tokens and `generated` tokens of
+    /// output.
     pub fn answered(
         &mut self,
         now: Instant,
@@ -183,32 +188,32 @@
             .rates
             .map_or(0.0, |rates| rates.work_ms(fresh, generated));
         let root = self.root(program);
-        let Some(live) = self.live.get_mut(&program) else {
+        let Some(active) = self.programs.get_mut(&program) else {
             return;
         };
-        live.track.answer(took, work);
-        live.answered = Some(now);
+        active.track.answer(took, work);
+        active.last_answer = Some(now);
         if root != program
-            && let Some(live) = self.live.get_mut(&root)
+            && let Some(active) = self.programs.get_mut(&root)
         {
-            live.track.add_work(work);
+            active.track.add_work(work);
         }
     }
 
-    /// How long programs of this one's class stay away from the engines between two calls.
+    /// Mean time between two model calls for programs of the same class; 1 s until one has been measured.
     #[must_use]
     pub fn pause(&self, program: Program) -> Duration {
-        let live = self.live.get(&program);
-        let mean = live.and_then(|live| self.pauses.get(&live.start.class));
+        let active = self.programs.get(&program);
+        let mean = active.and_then(|active| self.pauses.get(&active.start.class));
         Duration::from_secs_f64(mean.copied().unwrap_or(1.0))
     }
 
-    /// A program has ended; `whole` when it ended by itself, so that its shape is worth learning.
-    pub fn ended(&mut self, now: Instant, program: Program, whole: bool) {
-        let Some(Live { start, track, .. }) = self.live.remove(&program) else {
+    /// Stops tracking a program that has ended. Its class learns from it if `completed`, that is if it ended by itself.
+    pub fn ended(&mut self, now: Instant, program: Program, completed: bool) {
+        let Some(ActiveProgram { start, track, .. }) = self.programs.remove(&program) else {
             return;
         };
-        if whole {
+        if completed {
             self.estimator.ended(&start.class, &track);
         }
         if start.parent.is_some() {
@@ -221,52 +226,69 @@
         }
     }
 
-    fn resume(&mut self, now: Instant, program: Program) {
-        let Some(live) = self.live.get_mut(&program) else {
+    /// Records the time since the program's last answer, if it has not been recorded yet.
+    fn end_pause(&mut self, now: Instant, program: Program) {
+        let Some(active) = self.programs.get_mut(&program) else {
             return;
         };
-        if let Some(since) = live.answered.take() {
+        if let Some(since) = active.last_answer.take() {
             let took = now.saturating_duration_since(since);
-            live.track.outside(took);
-            let pause = self.pauses.entry(live.start.class.clone()).or_insert(1.0);
-            *pause += NEWEST * (took.as_secs_f64() - *pause);
+            active.track.outside(took);
+            let mean = self.pauses.entry(active.start.class.clone()).or_insert(1.0);
+            *mean += SAMPLE_WEIGHT * (took.as_secs_f64() - *mean);
         }
     }
 
-    fn rest(&self, start: &Start, answers: usize) -> Rest {
-        let known = self.estimator.rest(&start.class, answers, QUANTILE);
-        known.unwrap_or_else(|| Rest {
-            time: start.target.mul_f64(UNKNOWN).min(UNKNOWN_MOST),
+    fn remaining(&self, start: &Start, answers: usize) -> Rest {
+        let learned = self
+            .estimator
+            .rest(&start.class, answers, REMAINING_QUANTILE);
+        learned.unwrap_or_else(|| Rest {
+            time: start
+                .target
+                .mul_f64(PRIOR_TARGET_FRACTION)
+                .min(MAX_PRIOR_REMAINING),
             work_ms: 0.0,
         })
     }
 
-    /// What remains of a program and of those that wait for it.
-    fn whole(&self, program: Program) -> Option<Rest> {
-        let live = self.live.get(&program)?;
-        let mut rest = self.rest(&live.start, live.track.answers());
-        if let Some(above) = live.start.parent.and_then(|parent| self.whole(parent)) {
-            rest.time += above.time;
-            rest.work_ms += above.work_ms;
+    /// What remains of a program and of its ancestors, which wait for it.
+    fn remaining_with_ancestors(&self, program: Program) -> Option<Rest> {
+        let active = self.programs.get(&program)?;
+        let mut remaining = self.remaining(&active.start, active.track.answers());
+        if let Some(ancestors) = active
+            .start
+            .parent
+            .and_then(|parent| self.remaining_with_ancestors(parent))
+        {
+            remaining.time += ancestors.time;
+            remaining.work_ms += ancestors.work_ms;
         }
-        Some(rest)
+        Some(remaining)
     }
 
+    /// The topmost tracked ancestor of a program.
     fn root(&self, program: Program) -> Program {
-        let parent = self.live.get(&program).and_then(|live| live.start.parent);
+        let parent = self
+            .programs
+            .get(&program)
+            .and_then(|active| active.start.parent);
         match parent {
-            Some(parent) if self.live.contains_key(&parent) => self.root(parent),
+            Some(parent) if self.programs.contains_key(&parent) => self.root(parent),
             _ => program,
         }
     }
 
-    fn promise(&mut self, now: Instant, program: Program) {
-        let Some(live) = self.live.get(&program) else {
+    /// Updates the engine time reserved for a program without a parent; does nothing for sub-agents.
+    fn reserve(&mut self, now: Instant, program: Program) {
+        let Some(active) = self.programs.get(&program) else {
             return;
         };
-        if live.start.parent.is_none() {
-            let deadline = live.start.deadline;
-            let work_ms = self.rest(&live.start, live.track.answers()).work_ms;
+        if active.start.parent.is_none() {
+            let deadline = active.start.deadline;
+            let work_ms = self
+                .remaining(&active.start, active.track.answers())
+                .work_ms;
             self.gate.promise(now, program, deadline, work_ms);
         }
     }
--- a/src/policy/outage.rs
+++ b/src/policy/outage.rs
@@ -1,16 +1,15 @@
-//! Whether this VM alone has lost the store, or all have.
+//! Tells whether this VM alone has lost the store, or all VMs have.
 //!
-//! Load it answers: the store refuses everybody for some seconds, and hundreds of VMs notice within the
-//! same second. A VM that is cut off alone had better pass on what only the store's clients can do; where
-//! all are cut off, whoever is passed to is no better off, and VMs that pass on to each other lose count.
+//! A VM that is cut off alone hands its work to VMs that still reach the store. If all have lost the store, handing over
+//! does not help, and VMs that hand over to each other lose track of what they counted.
 
 use std::time::Duration;
 
-/// Whether a VM that last heard the store `heard_ago` still had it when this one, `lost_for` ago, had
-/// lost it.
+/// Whether another VM, which last heard from the store `heard_ago`, still had it after this one had lost it `lost_for`
+/// ago.
 ///
-/// A VM says that it has lost the store only after several failures, so the outage began before
-/// that. An answer that came later can't be from before the outage.
+/// A VM considers the store lost only after several failures. An answer received later than that is therefore not from
+/// before the outage.
 ///
 /// ```
 /// use std::time::Duration;
@@ -25,25 +24,25 @@
     heard_ago.is_some_and(|heard_ago| heard_ago < lost_for)
 }
 
-/// VMs that are asked whether they answer. In a group of a third of all VMs 18 of 24 do in one of a million cases;
-/// where a tenth of all is down, in 99 of 100.
+/// Number of VMs that are asked to find out whether this VM reaches the majority.
 pub const SAMPLE: usize = 24;
 
-/// How many of the others answered a VM.
+/// How many of a sample of the other VMs answered this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reach {
-    /// Those that answered.
+    /// VMs that answered.
     pub answered: usize,
-    /// Those that were asked.
+    /// VMs in the sample.
     pub asked: usize,
-    /// All VMs that there were lately, itself among them.
+    /// All recent members of the cluster, including this VM.
     pub known: usize,
 }
 
 impl Reach {
-    /// Whether the VM is among most of those that there were.
+    /// Whether this VM is on the majority side of a network partition.
     ///
-    /// Half does not suffice where only a sample was asked, since by chance more of a smaller group are in it.
+    /// If only a sample was asked, three quarters must have answered: more than half of a sample may by chance be on the
+    /// minority side.
     ///
     /// ```
     /// use vanillatrail::policy::outage::Reach;
@@ -61,7 +60,7 @@
         self.answered * 4 >= self.asked * 3
     }
 
-    /// The part of all VMs that it reaches.
+    /// Estimated fraction of all VMs that this VM reaches, itself included.
     ///
     /// ```
     /// use vanillatrail::policy::outage::Reach;
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -1,69 +1,68 @@
-//! From which VMs a VM hears of changes to the directory, and when it reads the store itself.
+//! Chooses the VMs from which a VM gets changes to the directory, and when it reads the store itself.
 //!
-//! Load it answers: a thousand VMs before ten thousand servers, each of which renews its registration every few
-//! seconds. Where each VM reads all renewals, what the store sends grows with VMs times servers. Here one VM reads
-//! them, one VM of each availability zone asks that one, and the others ask the VM of their zone.
+//! If every VM read all renewals of registrations, the load on the store would grow with VMs times servers. Instead one
+//! VM reads the store, one VM of each availability zone asks that VM, and the others ask the one of their zone.
 //!
-//! All VMs are in one order, by strength and rendezvous. A VM asks only VMs before it, so that no two wait for each
-//! other, and the first one that is left reads the store.
+//! All VMs are ranked by processor time and rendezvous hash. A VM asks only VMs ranked before it, so that no two VMs
+//! wait for each other, and the first reachable VM reads the store.
 
 use crate::id::{Millicores, Vm, Zone, rendezvous};
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The key of the order.
-const KEY: &str = "directory";
-/// A VM comes early if it has at least the strongest one's processor time divided by this.
-const STRONG: u64 = 2;
-/// VMs of its own zone that a VM asks, one after the other.
-const NEAR: usize = 2;
-/// VMs of all zones that it asks after those.
-const ALL: usize = 4;
-/// How old an answer may be, in periods between two reads: two steps of the chain, and half a period for delays.
-const FRESH: f64 = 2.5;
-/// How long a VM that has no directory waits for one that is about to read it.
-const PATIENCE: Duration = Duration::from_secs(6);
+/// Rendezvous key of the ranking.
+const RANK_KEY: &str = "directory";
+/// VMs with at least the largest VM's processor time divided by this are ranked before all others.
+const MAX_CORES_DIVISOR: u64 = 2;
+/// VMs of its own zone that a VM may ask.
+const MAX_SAME_ZONE: usize = 2;
+/// First VMs of the ranking that a VM may ask after those, in any zone.
+const MAX_ANY_ZONE: usize = 4;
+/// Age up to which a directory counts as fresh, in read periods: one for each of two hops, and half for delays.
+const MAX_AGE_PERIODS: f64 = 2.5;
+/// How long a VM without a directory waits for another VM that is about to read one.
+const MAX_STARTUP_WAIT: Duration = Duration::from_secs(6);
 
-/// A VM that may be asked.
+/// A VM that may be asked for directory changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the VM, as used for ranking.
     pub vm: Vm,
-    /// Where it is asked.
+    /// Address of its socket for directory changes.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: Zone,
-    /// The processor time that it may use.
+    /// Processor time that the VM may use.
     pub cores: Millicores,
 }
 
-/// VMs in their order for a duty: strong ones first, else by rendezvous.
+/// Ranks VMs for a task: large VMs first, then by rendezvous hash of `key` and the VM's name.
 #[must_use]
 pub fn ranked<'a>(key: &str, peers: &'a [Peer]) -> Vec<&'a Peer> {
-    let strongest = peers.iter().map(|peer| peer.cores.0).max().unwrap_or(0);
+    let largest = peers.iter().map(|peer| peer.cores.0).max().unwrap_or(0);
     let mut ranked: Vec<_> = peers
         .iter()
         .map(|peer| {
-            let strong = peer.cores.0 >= strongest / STRONG;
-            (strong, rendezvous(key, peer.vm.as_str()), peer)
+            let is_large = peer.cores.0 >= largest / MAX_CORES_DIVISOR;
+            (is_large, rendezvous(key, peer.vm.as_str()), peer)
         })
         .collect();
-    ranked.sort_unstable_by_key(|(strong, rank, _)| Reverse((*strong, *rank)));
+    ranked.sort_unstable_by_key(|(is_large, rank, _)| Reverse((*is_large, *rank)));
     ranked.into_iter().map(|(_, _, peer)| peer).collect()
 }
 
-/// Whom a VM may ask.
+/// Where a VM gets directory changes from.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Order {
-    /// The VMs that it asks for changes, in this order.
+    /// Addresses of the VMs to ask, in this order.
     pub before: Vec<SocketAddr>,
-    /// Whether it reads the store where none of them helps. Only the first VMs of all and of each zone do, so that few
-    /// read however many find nobody.
+    /// Whether the VM reads the store if none of them has a fresh directory. Only the first VMs of the ranking and of
+    /// each zone do, which limits the load on the store.
     pub reads: bool,
 }
 
-/// Whom `me` asks for changes.
+/// Returns the VMs that `me` asks for changes, and whether it may read the store.
 ///
 /// ```
 /// use vanillatrail::id::Millicores;
@@ -81,18 +80,23 @@
 /// ```
 #[must_use]
 pub fn order(me: &Vm, peers: &[Peer]) -> Order {
-    let ranked = ranked(KEY, peers);
-    let Some(mine) = ranked.iter().position(|peer| peer.vm == *me) else {
+    let ranked = ranked(RANK_KEY, peers);
+    let Some(own_rank) = ranked.iter().position(|peer| peer.vm == *me) else {
         return Order::default();
     };
-    let before = &ranked[..mine];
-    let near = before.iter().filter(|peer| peer.zone == ranked[mine].zone);
-    let near: Vec<SocketAddr> = near.take(NEAR).map(|peer| peer.address).collect();
+    let before = &ranked[..own_rank];
+    let same_zone = before
+        .iter()
+        .filter(|peer| peer.zone == ranked[own_rank].zone);
+    let same_zone: Vec<SocketAddr> = same_zone
+        .take(MAX_SAME_ZONE)
+        .map(|peer| peer.address)
+        .collect();
     let mut order = Order {
-        reads: mine < ALL || near.len() < NEAR,
-        before: near,
+        reads: own_rank < MAX_ANY_ZONE || same_zone.len() < MAX_SAME_ZONE,
+        before: same_zone,
     };
-    for peer in before.iter().take(ALL) {
+    for peer in before.iter().take(MAX_ANY_ZONE) {
         if !order.before.contains(&peer.address) {
             order.before.push(peer.address);
         }
@@ -100,30 +104,30 @@
     order
 }
 
-/// What a VM that was asked says of its directory.
+/// State of the directory on a VM that was asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Standing {
-    /// The age of its directory; none where it has none yet.
+    /// Age of its directory; `None` if it has none yet.
     pub age: Option<Duration>,
-    /// Whether the store answers it.
+    /// Whether it can reach the store.
     pub has_store: bool,
 }
 
-/// What to do after an answer.
+/// What to do with the answer of another VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Use it, and ask no other.
+    /// Use the answer, and ask no other VM.
     Use,
-    /// Wait: the VM is about to have a directory.
+    /// Wait and ask again: the VM is about to have a directory.
     Wait,
-    /// Ask the next one.
+    /// Ignore the answer, and ask the next VM.
     Next,
 }
 
-/// Whether a directory of this age is what the store says now; `period` is the time between two reads.
+/// Whether a directory of this age is up to date, where `period` is the time between two reads.
 ///
-/// After an outage records of servers that live may be missing for a while, and a reader waits before it takes them for
-/// gone. Where others went on reading, and this VM followed them, there was no outage, and nothing may wait.
+/// After an outage of the store, registrations of live servers may be missing for a while, so a reader delays removals.
+/// While the directory stayed fresh, there was no outage and removals must not be delayed.
 ///
 /// ```
 /// use std::time::Duration;
@@ -134,24 +138,24 @@
 /// ```
 #[must_use]
 pub fn is_fresh(age: Duration, period: Duration) -> bool {
-    age <= period.mul_f64(FRESH)
+    age <= period.mul_f64(MAX_AGE_PERIODS)
 }
 
-/// What a VM that asks can do without an answer.
+/// State of the VM that asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Asker {
-    /// The time between two of its reads.
+    /// Time between two reads of the directory.
     pub period: Duration,
-    /// For how long it has had no directory; none where it has one.
+    /// How long it has been without a directory; `None` if it has one.
     pub waits: Option<Duration>,
-    /// Whether it could read the store itself.
+    /// Whether it may and can read the store itself.
     pub reads: bool,
 }
 
-/// What to do after an answer.
+/// Decides what to do with the answer of another VM.
 ///
-/// A VM that could read the store itself does not rely on one that can't: that one hears of changes from others, among
-/// them perhaps from this VM, and each would take the other for the one that reads.
+/// A VM that can read the store does not rely on one that cannot: the other VM may get its changes from this one, and
+/// then neither of them would read the store.
 ///
 /// ```
 /// use std::time::Duration;
@@ -169,10 +173,10 @@
 /// ```
 #[must_use]
 pub fn step(standing: Standing, asker: Asker) -> Step {
-    let relies = standing.has_store || !asker.reads;
+    let is_reliable = standing.has_store || !asker.reads;
     match standing.age {
-        Some(age) if relies && is_fresh(age, asker.period) => Step::Use,
-        None if standing.has_store && asker.waits.is_some_and(|waits| waits < PATIENCE) => {
+        Some(age) if is_reliable && is_fresh(age, asker.period) => Step::Use,
+        None if standing.has_store && asker.waits.is_some_and(|waits| waits < MAX_STARTUP_WAIT) => {
             Step::Wait
         }
         _ => Step::Next,
--- a/src/policy/trust.rs
+++ b/src/policy/trust.rs
@@ -1,39 +1,39 @@
-//! How much of a limit the VM that counts a team may grant, by what it knows of the store and of other VMs.
+//! Decides which share of a limit the VM that counts a team may grant.
 //!
-//! Load it answers: a third of the VMs is cut off from all others while a team sends several times its usual. Both
-//! sides count the team then. Each knows something: the one that is cut off has lost the store and finds that most
-//! VMs don't answer; the other one has taken over from a VM that is silent.
+//! During a network partition both sides may count the same team. The VM on the minority side has lost the store and
+//! gets no answer from most VMs; the one on the majority side has taken over from a VM that does not answer. Each grants
+//! less for as long as the other may still grant.
 
 use super::limit::{AHEAD, Share};
 use super::outage::Reach;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long ago the store must have taken a record of the counter. One is written each second.
+/// Age of the counter's last accepted write up to which the store is taken to confirm it. Counters write every second.
 pub const CONFIRMED: Duration = Duration::from_millis(1500);
-/// For how long a counter grants half where another one may still count. One that is cut off has found that out
-/// by then, and one that was suspended has been refused by the store.
-pub const DOUBT: Duration = Duration::from_secs(4);
+/// How long a counter grants half of the limit after a takeover or a stall. By then a previous counter that was cut off
+/// or suspended has noticed it.
+pub const HALF_SHARE_PERIOD: Duration = Duration::from_secs(4);
 
-/// How a counter came by the teams that it counts, which tells what may have been granted before.
+/// How a VM became the counter of a partition of teams, which determines what may have been granted before.
 ///
-/// It belongs to one taking: a VM that tried to take teams first, lost to another one and had them handed over
-/// later would begin with a full bucket beside what the other one had granted.
+/// Kept per acquisition of a partition. A VM that acquires it again must not reuse the value of an earlier attempt, as
+/// another VM may have granted requests in between.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// Nobody had ever counted them.
+    /// No VM had counted the teams before.
     First,
-    /// The counter before handed them over.
+    /// The previous counter handed the teams over.
     HandedOver,
-    /// The counter before said that it counts no more, or was this VM.
+    /// The previous counter said that it no longer counts, was this VM, or cannot be told from its record.
     GivenUp,
-    /// The counter before was silent then, and may still grant.
+    /// The previous counter did not answer at this time, and may still grant requests.
     Silent(Instant),
 }
 
 impl Origin {
-    /// When a counter begins with an empty bucket that is first asked at `now`, in a process that began at
-    /// `restarted`.
+    /// Time from which the bucket of a new counter fills, where the first request arrives at `now` and the process
+    /// started at `process_start`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -46,18 +46,18 @@
     /// assert_eq!(Origin::GivenUp.begins(now, now - window, window), now);
     /// ```
     #[must_use]
-    pub fn begins(self, now: Instant, restarted: Instant, window: Duration) -> Instant {
+    pub fn begins(self, now: Instant, process_start: Instant, window: Duration) -> Instant {
         match self {
-            // Nothing was granted within the window before.
+            // No request was granted within the last window, so the bucket is full.
             Self::First => now.checked_sub(window).unwrap_or(now),
             Self::HandedOver => now + AHEAD,
-            // One that is silent was so for longer when it is taken over from; a VM that counted before may have
-            // started again at once.
-            Self::GivenUp | Self::Silent(_) => now.max(restarted + AHEAD),
+            // An unresponsive counter is only replaced after a longer time. If this VM was the previous counter, it may
+            // have granted requests just before it restarted.
+            Self::GivenUp | Self::Silent(_) => now.max(process_start + AHEAD),
         }
     }
 
-    /// For how long another counter may have granted beside this one.
+    /// Time since the previous counter was found unresponsive; `None` if it certainly no longer grants.
     #[must_use]
     pub fn doubted(self, now: Instant) -> Option<Duration> {
         match self {
@@ -67,19 +67,19 @@
     }
 }
 
-/// What a counter knows.
+/// What a counter knows about its own state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Standing {
-    /// How long ago the write began that the store took last.
+    /// Time since the start of the last write that the store accepted.
     pub confirmed: Duration,
-    /// How long ago it took over from a VM that was silent, or stood still itself; none where neither is so.
+    /// Time since it took over from an unresponsive VM, or was itself stalled; `None` if neither happened.
     pub doubted: Option<Duration>,
-    /// How many other VMs it reaches; none where that is not known.
+    /// How many other VMs it reaches; `None` if that was not checked.
     pub reach: Option<Reach>,
 }
 
 impl Standing {
-    /// The share that it may grant.
+    /// The share of the limit that the counter may grant.
     ///
     /// ```
     /// use std::time::Duration;
@@ -99,11 +99,11 @@
         if let Some(reach) = cut_off.filter(|_| !confirmed) {
             return Share::Tolerance(reach.part());
         }
-        let doubted = self.doubted.is_some_and(|ago| ago < DOUBT);
-        if doubted || !confirmed && self.reach.is_none() {
+        let may_overlap = self.doubted.is_some_and(|ago| ago < HALF_SHARE_PERIOD);
+        if may_overlap || !confirmed && self.reach.is_none() {
             return Share::Half;
         }
-        // Without the store nobody takes over from a VM that answers most others.
+        // Even without the store, no VM takes over from one that most others reach.
         Share::Whole
     }
 }
