--- a/src/policy/admit.rs
+++ b/src/policy/admit.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Minimum width of a slot of deadlines.
+/// Minimum width of a deadline slot.
 const MIN_SLOT_MS: i64 = 1000;
 /// Initial share of the capacity that may be reserved.
 const INITIAL_SHARE: f64 = 0.9;
--- a/src/policy/allowance.rs
+++ b/src/policy/allowance.rs
@@ -174,9 +174,9 @@
         if account.turns > 0 {
             return self.restore(now, &entry.program, entry.allowed);
         }
-        let by_others = account.allowed.saturating_sub(entry.allowed);
+        let recorded_by_others = account.allowed.saturating_sub(entry.allowed);
         account.allowed = account.allowed.max(entry.allowed);
-        account.spent = entry.spent + by_others;
+        account.spent = entry.spent + recorded_by_others;
         account.turns = entry.turns;
         account.reserved = entry.open.iter().map(|(_, max_tokens)| max_tokens).sum();
         let program = entry.program;
@@ -214,7 +214,7 @@
         let account = self.account(now, program);
         account.last_used = now;
         if account.turns == 0 {
-            // Only on the first turn: `seen` is an upper bound, since it counts turns in progress at their maximum.
+            // `seen` counts turns in progress at their maximum, so it is used only until turns are counted here.
             account.spent = (account.spent + maybe_lost).max(turn.seen);
         }
         if !is_known {
--- a/src/policy/forecast.rs
+++ b/src/policy/forecast.rs
@@ -30,7 +30,7 @@
     pub target: Duration,
     /// When the program should have ended. Sub-agents use that of their topmost tracked ancestor.
     pub deadline: Instant,
-    /// Whether a caller waits for the end; programs that nobody waits for are always admitted.
+    /// Whether a caller waits for the result; programs that nobody waits for are always admitted.
     pub waiting: bool,
     /// Model calls made so far; above 0 only after a takeover.
     pub answers: usize,
@@ -152,51 +152,50 @@
         self.programs.contains_key(&program)
     }
 
-    /// Urgency of the next model call of a program; `None` if the program is not tracked. Also
-    /// records the time since its previous call.
+    /// Urgency of the next model call of a program; `None` if the program is not tracked. Also records
+    /// the time since its previous call.
     pub fn urgency(&mut self, now: Instant, program: Program) -> Option<Urgency> {
         self.end_pause(now, program);
         let remaining = self.remaining_with_ancestors(program)?;
         let root = self.root(program);
         self.reserve(now, root);
         let start = &self.programs.get(&root)?.start;
-        let left = start.deadline.saturating_duration_since(now).as_secs_f64()
+        let left_secs = start.deadline.saturating_duration_since(now).as_secs_f64()
             - now.saturating_duration_since(start.deadline).as_secs_f64();
-        let slack = left - remaining.time.as_secs_f64();
-        if start.waiting && slack < -LATE_FRACTION * remaining.time.as_secs_f64() {
+        let slack_secs = left_secs - remaining.time.as_secs_f64();
+        if start.waiting && slack_secs < -LATE_FRACTION * remaining.time.as_secs_f64() {
             self.gate.late(root);
         }
         #[expect(clippy::cast_possible_truncation, reason = "milliseconds")]
-        let slack_ms = (slack * 1000.0) as i64;
+        let slack_ms = (slack_secs * 1000.0) as i64;
         Some(Urgency {
             slack_ms,
             remaining_ms: u64::try_from(remaining.time.as_millis()).unwrap_or(u64::MAX),
         })
     }
 
-    /// Records a model call that ended after `took`, with `fresh` uncached prompt tokens and `generated` tokens of
-    /// output.
+    /// Records a model call that took `duration`, with `uncached` prompt tokens and `generated` tokens of output.
     pub fn answered(
         &mut self,
         now: Instant,
         program: Program,
-        took: Duration,
-        fresh: u64,
+        duration: Duration,
+        uncached: u64,
         generated: u64,
     ) {
-        let work = self
+        let work_ms = self
             .rates
-            .map_or(0.0, |rates| rates.work_ms(fresh, generated));
+            .map_or(0.0, |rates| rates.work_ms(uncached, generated));
         let root = self.root(program);
         let Some(active) = self.programs.get_mut(&program) else {
             return;
         };
-        active.track.answer(took, work);
+        active.track.answer(duration, work_ms);
         active.last_answer = Some(now);
         if root != program
             && let Some(active) = self.programs.get_mut(&root)
         {
-            active.track.add_work(work);
+            active.track.add_work(work_ms);
         }
     }
 
@@ -232,10 +231,10 @@
             return;
         };
         if let Some(since) = active.last_answer.take() {
-            let took = now.saturating_duration_since(since);
-            active.track.outside(took);
+            let pause = now.saturating_duration_since(since);
+            active.track.outside(pause);
             let mean = self.pauses.entry(active.start.class.clone()).or_insert(1.0);
-            *mean += SAMPLE_WEIGHT * (took.as_secs_f64() - *mean);
+            *mean += SAMPLE_WEIGHT * (pause.as_secs_f64() - *mean);
         }
     }
 
--- a/src/policy/limit.rs
+++ b/src/policy/limit.rs
@@ -148,9 +148,9 @@
 }
 
 impl Meter {
-    /// Creates a counter that may grant from `since` on. Call `set` before the first request.
+    /// Creates a counter that may grant from `start` on. Call `set` before the first request.
     #[must_use]
-    pub fn new(since: Instant) -> Self {
+    pub fn new(start: Instant) -> Self {
         Self {
             local_limit: LocalLimit {
                 per_second: 0.0,
@@ -159,7 +159,7 @@
             },
             window: Duration::ZERO,
             tokens: INITIAL_TOKENS,
-            refilled_at: since,
+            refilled_at: start,
             slices: VecDeque::new(),
             granted: 0,
         }
--- a/src/policy/pace.rs
+++ b/src/policy/pace.rs
@@ -6,9 +6,9 @@
 const SAMPLE_WEIGHT: f64 = 0.02;
 /// Weight of the newest call in the moving average of one server.
 const SERVER_SAMPLE_WEIGHT: f64 = 0.08;
-/// Assumed time per token of a lone call, in milliseconds, until calls have been measured.
+/// Assumed intercept of the line, in milliseconds per token, until calls have been measured.
 const PRIOR_TOKEN_MS: f64 = 20.0;
-/// Assumed increase of the time per token for each further call in flight, in milliseconds.
+/// Assumed slope of the line: milliseconds per token for each call in flight.
 const PRIOR_SLOPE_MS: f64 = 1.0;
 /// Assumed time per uncached prompt token, in milliseconds, until calls have been measured.
 const PRIOR_PREFILL_MS: f64 = 0.1;
@@ -112,7 +112,7 @@
         (assumed > 0.0 && !is_near).then_some(scale)
     }
 
-    /// Intercept and slope of the line: the time per token of a lone call, and the increase per further call.
+    /// Intercept and slope of the line: the time per token without load, and the increase per call in flight.
     ///
     /// Scaling the assumed line avoids a wrong slope where engines differ much from it: few calls on a fast engine
     /// together with the assumed time of many calls would look like a steep line, the concurrency window would shrink,
@@ -155,7 +155,7 @@
         max_tokens * self.output_fraction
     }
 
-    /// Number of calls in flight at which a token takes `slowdown` times as long as for a lone call.
+    /// Number of calls in flight at which a token takes `slowdown` times as long as without load.
     #[must_use]
     pub fn calls_at(&self, slowdown: f64) -> f64 {
         let (intercept, slope) = self.line();
@@ -176,7 +176,7 @@
 }
 
 impl Rates {
-    /// Engine time of a call with `fresh` uncached prompt tokens and `generated` tokens of output, in milliseconds.
+    /// Engine time of a call with `uncached` prompt tokens and `generated` tokens of output, in milliseconds.
     ///
     /// ```
     /// use vanillatrail::policy::pace::Rates;
@@ -184,8 +184,8 @@
     /// assert!((rates.work_ms(100, 50) - 110.0).abs() < 1e-9);
     /// ```
     #[must_use]
-    pub fn work_ms(&self, fresh: u64, generated: u64) -> f64 {
-        fresh as f64 * self.prefill_ms + generated as f64 * self.token_ms
+    pub fn work_ms(&self, uncached: u64, generated: u64) -> f64 {
+        uncached as f64 * self.prefill_ms + generated as f64 * self.token_ms
     }
 }
 
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -102,7 +102,7 @@
 /// Rate limiter of one team, with admission control for its programs.
 #[derive(Debug)]
 pub struct Quota {
-    since: Instant,
+    start: Instant,
     meter: Meter,
     programs: HashMap<u64, Program>,
     /// How many times the limit the programs in progress may be expected to need.
@@ -110,17 +110,17 @@
 }
 
 impl Quota {
-    /// Creates a counter that may grant from `since` on and knows no earlier grants.
+    /// Creates a counter that may grant from `start` on and knows no earlier grants.
     ///
     /// ```
     /// let quota = vanillatrail::policy::quota::Quota::new(tokio::time::Instant::now());
     /// assert_eq!(quota.granted(), 0);
     /// ```
     #[must_use]
-    pub fn new(since: Instant) -> Self {
+    pub fn new(start: Instant) -> Self {
         Self {
-            since,
-            meter: Meter::new(since),
+            start,
+            meter: Meter::new(start),
             programs: HashMap::new(),
             overcommit: OVERCOMMIT.0,
         }
@@ -138,7 +138,7 @@
             && let Some(class) = request.class
         {
             self.remove_idle(now, needs);
-            let after_takeover = now.saturating_duration_since(self.since) < TAKEOVER_PERIOD;
+            let after_takeover = now.saturating_duration_since(self.start) < TAKEOVER_PERIOD;
             if !after_takeover && let Some(retry_after) = self.retry_after_if_full(needs, class) {
                 return refused(retry_after);
             }
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -13,8 +13,8 @@
 
 /// Rendezvous key of the ranking.
 const RANK_KEY: &str = "directory";
-/// VMs with at least the largest VM's processor time divided by this are ranked before all others.
-const MAX_CORES_DIVISOR: u64 = 2;
+/// VMs that have at least the processor time of the largest VM divided by this are ranked before all others.
+const LARGE_VM_DIVISOR: u64 = 2;
 /// VMs of its own zone that a VM may ask.
 const MAX_SAME_ZONE: usize = 2;
 /// First VMs of the ranking that a VM may ask after those, in any zone.
@@ -44,7 +44,7 @@
     let mut ranked: Vec<_> = peers
         .iter()
         .map(|peer| {
-            let is_large = peer.cores.0 >= largest / MAX_CORES_DIVISOR;
+            let is_large = peer.cores.0 >= largest / LARGE_VM_DIVISOR;
             (is_large, rendezvous(key, peer.vm.as_str()), peer)
         })
         .collect();
--- a/src/policy/trust.rs
+++ b/src/policy/trust.rs
@@ -12,7 +12,7 @@
 /// Age of the counter's last accepted write up to which the store is taken to confirm it. Counters write every second.
 pub const CONFIRMED: Duration = Duration::from_millis(1500);
 /// How long a counter grants half of the limit after a takeover or a stall. By then a previous counter that was cut off
-/// or suspended has noticed it.
+/// or suspended has noticed it, and no longer grants the full limit.
 pub const HALF_SHARE_PERIOD: Duration = Duration::from_secs(4);
 
 /// How a VM became the counter of a partition of teams, which determines what may have been granted before.
