--- a/src/dispatch/duty.rs
+++ b/src/dispatch/duty.rs
@@ -5,7 +5,7 @@
 use crate::config::{Engine, Snapshot};
 use crate::id::{Permit, Server};
 use crate::member::View;
-use crate::policy::pace::Rates;
+use crate::policy::latency::Rates;
 use crate::policy::{Action, Ask, Outcome, Pool};
 use crate::telemetry::event;
 use serde_json::json;
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -8,7 +8,7 @@
 pub(crate) use duty::{Command, Context, run};
 
 use crate::id::{Model, Permit, Server, Service};
-use crate::policy::pace::Rates;
+use crate::policy::latency::Rates;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
--- a/src/gateway/limits/count.rs
+++ b/src/gateway/limits/count.rs
@@ -8,7 +8,7 @@
 use crate::gateway::tokens::part::Part;
 use crate::policy::limit::{Bound, Limit, Share};
 use crate::policy::quota::{Quota, Request, Verdict};
-use crate::policy::trust::{CONFIRMED, Origin, Standing};
+use crate::policy::share::{CONFIRMED, Origin, Standing};
 use crate::telemetry::event;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
--- a/src/gateway/tokens/failover.rs
+++ b/src/gateway/tokens/failover.rs
@@ -7,7 +7,7 @@
 use crate::gateway::tokens::part::Part;
 use crate::id::{Offset, Shard, rendezvous};
 use crate::platform::store::Fault;
-use crate::policy::trust::Origin;
+use crate::policy::share::Origin;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/gateway/tokens/handover.rs
+++ b/src/gateway/tokens/handover.rs
@@ -6,7 +6,7 @@
 use crate::gateway::tokens::keeper::PATIENCE;
 use crate::gateway::tokens::part::{Hold, Part};
 use crate::policy::allowance::Entry;
-use crate::policy::trust::Origin;
+use crate::policy::share::Origin;
 use crate::telemetry::event;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/gateway/tokens/keeper.rs
+++ b/src/gateway/tokens/keeper.rs
@@ -12,7 +12,7 @@
 use crate::platform::records::ALLOWANCE_TOPIC;
 use crate::platform::store::{Fault, Keyed, Store, Writer};
 use crate::policy::allowance::{Entry, Reservation};
-use crate::policy::trust::Origin;
+use crate::policy::share::Origin;
 use crate::telemetry::event;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
--- a/src/gateway/tokens/part.rs
+++ b/src/gateway/tokens/part.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::limits::count::Counted;
 use crate::policy::allowance::{Entry, Ledger};
-use crate::policy::trust::Origin;
+use crate::policy::share::Origin;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
--- a/src/gateway/tokens/takeover.rs
+++ b/src/gateway/tokens/takeover.rs
@@ -7,7 +7,7 @@
 use crate::platform::records::{ALLOWANCE_TOPIC, DETOUR_TOPIC};
 use crate::platform::store::{Fault, Keyed, Newest, Writer};
 use crate::policy::allowance::Ledger;
-use crate::policy::trust::Origin;
+use crate::policy::share::Origin;
 use crate::telemetry::event;
 use bytes::Bytes;
 use std::collections::HashMap;
--- a/src/policy/forecast.rs
+++ b/src/policy/forecast.rs
@@ -2,7 +2,7 @@
 
 use super::admit::Gate;
 use super::estimate::{Estimator, Rest, Track};
-use super::pace::Rates;
+use super::latency::Rates;
 use crate::id::{Class, Program};
 use std::collections::HashMap;
 use std::time::Duration;
--- a/src/policy/pace.rs
+++ b/src/policy/latency.rs
@@ -26,7 +26,7 @@
 /// The line is a least-squares fit with exponentially decaying weights.
 ///
 /// ```
-/// use vanillatrail::policy::pace::Pace;
+/// use vanillatrail::policy::latency::Pace;
 /// let mut pace = Pace::default();
 /// for running in [1.0, 10.0, 20.0, 40.0].into_iter().cycle().take(4000) {
 ///     pace.token(running, 10.0 + running, 1.0);
@@ -179,7 +179,7 @@
     /// Engine time of a call with `uncached` prompt tokens and `generated` tokens of output, in milliseconds.
     ///
     /// ```
-    /// use vanillatrail::policy::pace::Rates;
+    /// use vanillatrail::policy::latency::Rates;
     /// let rates = Rates { prefill_ms: 0.1, token_ms: 2.0, capacity: 10.0 };
     /// assert!((rates.work_ms(100, 50) - 110.0).abs() < 1e-9);
     /// ```
@@ -203,7 +203,7 @@
     /// Adds a call whose time per token was `measured` where the pool's line predicts `expected`.
     ///
     /// ```
-    /// use vanillatrail::policy::pace::Ratio;
+    /// use vanillatrail::policy::latency::Ratio;
     /// let mut ratio = Ratio::default();
     /// (0..100).for_each(|_| ratio.take(90.0, 30.0));
     /// assert!(ratio.get() > 2.9);
--- a/src/policy/pool.rs
+++ b/src/policy/pool.rs
@@ -1,7 +1,7 @@
 //! The queue before the servers of one pool, and the window of each server.
 
 use super::ask::{Action, Ask, Outcome};
-use super::pace::{Pace, Rates};
+use super::latency::{Pace, Rates};
 use super::queue::{Band, Queue};
 use super::server::Server;
 use super::slack::Waiting;
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -2,7 +2,7 @@
 
 use super::ask::Outcome;
 use super::cache::Cache;
-use super::pace::{Pace, Ratio};
+use super::latency::{Pace, Ratio};
 use crate::id::{Permit, Program, Server as Name};
 use std::collections::HashMap;
 use std::time::Duration;
--- a/src/policy/trust.rs
+++ b/src/policy/share.rs
@@ -38,7 +38,7 @@
     /// ```
     /// use std::time::Duration;
     /// use tokio::time::Instant;
-    /// use vanillatrail::policy::trust::Origin;
+    /// use vanillatrail::policy::share::Origin;
     /// let now = Instant::now();
     /// let window = Duration::from_secs(5);
     /// assert_eq!(Origin::First.begins(now, now, window), now - window);
@@ -85,7 +85,7 @@
     /// use std::time::Duration;
     /// use vanillatrail::policy::limit::Share;
     /// use vanillatrail::policy::outage::Reach;
-    /// use vanillatrail::policy::trust::Standing;
+    /// use vanillatrail::policy::share::Standing;
     /// let calm = Standing { confirmed: Duration::ZERO, doubted: None, reach: None };
     /// assert_eq!(calm.share(), Share::Whole);
     /// let few = Reach { answered: 1, asked: 7, known: 8 };
