--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::id::{Permit, Program, Server, Shard, Tokens};
-use vanillatrail::policy::admit::Gate;
+use vanillatrail::policy::admit::Admission;
 use vanillatrail::policy::{Action, Ask, Pool};
 
 const SERVERS: [usize; 3] = [10, 100, 3_600];
@@ -84,11 +84,11 @@
     group.sample_size(20);
     let now = Instant::now();
     for programs in PROGRAMS {
-        let mut gate = Gate::default();
+        let mut gate = Admission::default();
         for program in 0..programs {
             let by = now + Duration::from_millis(program * 41 % 3_600_000);
             let id = Program::new(Shard(0), u128::from(program));
-            gate.promise(now, id, by, 1_000.0);
+            gate.reserve(now, id, by, 1_000.0);
         }
         group.bench_function(BenchmarkId::from_parameter(programs), |bencher| {
             let by = now + Duration::from_mins(1);
--- a/benches/policy/ours.rs
+++ b/benches/policy/ours.rs
@@ -133,7 +133,7 @@
 impl Scheduler for Ours {
     fn open(&mut self, opening: &Opening) -> bool {
         let (now, start) = (Instant::now(), self.start(opening));
-        self.forecast.rates(self.pool.rates());
+        self.forecast.set_rates(self.pool.rates());
         let refused = self.forecast.admit(now, &start, 1.0).is_err();
         if refused && self.without != Some(Part::Gate) {
             return false;
@@ -174,9 +174,9 @@
             }
             let took = Duration::from_secs_f64(report.first + report.rest);
             let fresh = report.prompt - report.cached;
-            self.forecast.rates(self.pool.rates());
+            self.forecast.set_rates(self.pool.rates());
             self.forecast
-                .answered(now, id(report.program), took, fresh, report.generated);
+                .record_answer(now, id(report.program), took, fresh, report.generated);
         }
         let outcome = Outcome {
             failed: report.failed,
@@ -191,14 +191,14 @@
     }
 
     fn pause(&mut self, program: usize) -> Vec<Order> {
-        let pause = self.forecast.pause(id(program));
+        let pause = self.forecast.mean_pause(id(program));
         let actions = self.pool.pause(Instant::now(), id(program), pause);
         self.orders(actions)
     }
 
     fn end(&mut self, program: usize, whole: bool) -> Vec<Order> {
         self.pool.ended(id(program));
-        self.forecast.ended(Instant::now(), id(program), whole);
+        self.forecast.record_end(Instant::now(), id(program), whole);
         self.started.remove(&program);
         let engines = self.engines.remove(&program).unwrap_or_default();
         if self.without == Some(Part::Evictions) {
--- a/src/gateway/census.rs
+++ b/src/gateway/census.rs
@@ -5,7 +5,7 @@
 use crate::gateway::{Gateway, peers};
 use crate::id::Vm;
 use crate::member::View;
-use crate::policy::outage::{Reach, SAMPLE, still_heard};
+use crate::policy::outage::{REACHABILITY_SAMPLE_SIZE, Reachability, heard_after_loss};
 use crate::telemetry::event;
 use futures::future::join_all;
 use rand::seq::IteratorRandom;
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Answers {
     at: Instant,
-    reach: Reach,
+    reach: Reachability,
     /// When the newest call began that the store answered one of them; none where it answered nobody.
     store_heard: Option<Instant>,
 }
@@ -62,7 +62,7 @@
         let seen = self.seen.borrow();
         let others = seen.values().map(|(address, _)| *address);
         let others = others.filter(|address| *address != own);
-        others.sample(&mut rand::rng(), SAMPLE)
+        others.sample(&mut rand::rng(), REACHABILITY_SAMPLE_SIZE)
     }
 }
 
@@ -79,11 +79,11 @@
     /// their partitions at the store and gave 864 of the same budget of 576. The members that are heard tell only
     /// seconds later.
     pub(crate) async fn reaches_most(&self) -> bool {
-        self.reach().await.is_most()
+        self.reach().await.is_majority()
     }
 
     /// How many of the VMs that there were lately answer this one.
-    pub(crate) async fn reach(&self) -> Reach {
+    pub(crate) async fn reach(&self) -> Reachability {
         self.answers().await.reach
     }
 
@@ -96,7 +96,7 @@
             return false;
         };
         let heard = self.answers().await.store_heard;
-        still_heard(failing.elapsed(), heard.map(|heard| heard.elapsed()))
+        heard_after_loss(failing.elapsed(), heard.map(|heard| heard.elapsed()))
     }
 
     async fn answers(&self) -> Answers {
@@ -111,7 +111,7 @@
             reply.ok().flatten()
         });
         let replies: Vec<Reply> = join_all(asks).await.into_iter().flatten().collect();
-        let reach = Reach {
+        let reach = Reachability {
             answered: replies.len(),
             asked: sample.len(),
             known: self.census.known(),
@@ -125,15 +125,15 @@
             reach,
             store_heard: heard.min().and_then(|ago| Instant::now().checked_sub(ago)),
         };
-        let before = newest.map(|answers| answers.reach.is_most());
-        if before != Some(reach.is_most()) {
+        let before = newest.map(|answers| answers.reach.is_majority());
+        if before != Some(reach.is_majority()) {
             event!(
                 info,
                 "members_asked",
                 answered = reach.answered,
                 asked = reach.asked,
                 known = reach.known,
-                most = reach.is_most()
+                most = reach.is_majority()
             );
         }
         *newest = Some(answers);
--- a/src/gateway/limits/count.rs
+++ b/src/gateway/limits/count.rs
@@ -6,9 +6,9 @@
 use crate::gateway::peers::Reply;
 use crate::gateway::tokens::failover::LATELY;
 use crate::gateway::tokens::part::Part;
-use crate::policy::limit::{Bound, Limit, Share};
+use crate::policy::limit::{Limit, Share, Tolerance};
 use crate::policy::quota::{Quota, Request, Verdict};
-use crate::policy::share::{CONFIRMED, Origin, Standing};
+use crate::policy::share::{MAX_CONFIRMATION_AGE, Origin, Status};
 use crate::telemetry::event;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -104,13 +104,13 @@
         let began = teams.since.unwrap_or(now);
         let quota = teams.quotas.entry(take.team.clone());
         let quota = quota.or_insert_with(|| Quota::new(began));
-        quota.set(now, &bound, limit, share);
+        quota.configure(now, &bound, limit, share);
         let request = Request {
             program: take.program,
             class: take.class,
-            patience: Duration::from_millis(take.patience_ms),
+            max_wait: Duration::from_millis(take.patience_ms),
         };
-        match quota.ask(now, &mut self.counting.needs.borrow_mut(), request) {
+        match quota.decide(now, &mut self.counting.needs.borrow_mut(), request) {
             Verdict::Granted(wait) => Reply::Admitted {
                 wait_ms: millis(wait),
             },
@@ -125,8 +125,8 @@
                         per_second = limit.per_second,
                         burst = limit.burst,
                         share = format!("{share:?}"),
-                        granted = quota.granted(),
-                        programs = quota.programs(),
+                        granted = quota.granted_in_window(),
+                        programs = quota.active_programs(),
                         counted_ms = millis(now.saturating_duration_since(began)),
                         back_ms = millis(back)
                     );
@@ -141,7 +141,7 @@
     /// When this VM begins to grant requests of a partition that it counts since `now`.
     fn begins_to_grant(&self, part: &Part, now: Instant) -> Instant {
         let window = self.limit_bound().window;
-        origin(part, now).begins(now, self.keeper.began, window)
+        origin(part, now).grants_from(now, self.keeper.began, window)
     }
 
     /// The limit of a team, by the newer one of two configurations.
@@ -153,9 +153,9 @@
         team.and_then(|team| team.limit).unwrap_or(take.limit)
     }
 
-    pub(super) fn limit_bound(&self) -> Bound {
+    pub(super) fn limit_bound(&self) -> Tolerance {
         let limits = self.settings.limits;
-        Bound {
+        Tolerance {
             window: Duration::from_secs_f64(limits.window_s),
             excess: limits.excess,
             slack: limits.slack,
@@ -165,20 +165,23 @@
     /// How much of each limit this VM may grant of a partition that it counts.
     async fn share(&self, part: &Part) -> Share {
         self.counting.stall.look();
-        let confirmed = Self::confirmed_ago(part);
-        let reach = if confirmed < CONFIRMED {
+        let confirmed_ago = Self::confirmed_ago(part);
+        let reach = if confirmed_ago < MAX_CONFIRMATION_AGE {
             None
         } else {
             Some(self.reach().await)
         };
         let now = Instant::now();
-        let doubted = origin(part, now).doubted(now);
-        let standing = Standing {
-            confirmed,
-            doubted: doubted.into_iter().chain(self.counting.stall.ago()).min(),
+        let overlap_age = origin(part, now).overlap_age(now);
+        let status = Status {
+            confirmed_ago,
+            overlap_age: overlap_age
+                .into_iter()
+                .chain(self.counting.stall.ago())
+                .min(),
             reach,
         };
-        standing.share()
+        status.share()
     }
 
     /// How long ago the store last confirmed that this VM has a partition.
@@ -196,9 +199,9 @@
             let rows = teams.quotas.iter().map(|(name, quota)| {
                 let row = json!({
                     "team": name, "partition": number,
-                    "granted_in_window": quota.granted(), "programs": quota.programs(),
+                    "granted_in_window": quota.granted_in_window(), "programs": quota.active_programs(),
                 });
-                (quota.granted(), row)
+                (quota.granted_in_window(), row)
             });
             counted.extend(rows);
         }
@@ -216,7 +219,7 @@
 /// How this VM came by what it counts.
 fn origin(part: &Part, now: Instant) -> Origin {
     // Nobody can take a partition that is counted without a hold, and whoever has it may live unseen.
-    let unseen = Origin::Silent(now);
+    let unseen = Origin::Unresponsive(now);
     part.hold.get().map_or(unseen, |hold| hold.origin)
 }
 
--- a/src/gateway/limits/mod.rs
+++ b/src/gateway/limits/mod.rs
@@ -7,13 +7,13 @@
 mod stall;
 mod take;
 
-use crate::policy::quota::Needs;
+use crate::policy::quota::Demand;
 use stall::Stall;
 use std::cell::RefCell;
 
 /// What this VM knows for counting teams, beside the partitions that it counts.
 #[derive(Debug, Default)]
 pub(crate) struct Counting {
-    needs: RefCell<Needs>,
+    needs: RefCell<Demand>,
     stall: Stall,
 }
--- a/src/gateway/limits/take.rs
+++ b/src/gateway/limits/take.rs
@@ -34,7 +34,7 @@
             version,
             program: request.program,
             class: request.class,
-            patience_ms: u64::try_from(request.patience.as_millis()).unwrap_or(u64::MAX),
+            patience_ms: u64::try_from(request.max_wait.as_millis()).unwrap_or(u64::MAX),
         };
         let question = |takeover| Question::Take {
             part,
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -7,7 +7,7 @@
 use crate::gateway::limits::count::Take;
 use crate::id::Vm;
 use crate::member::{DATAGRAM, Sealer};
-use crate::policy::allowance::{Entry, Reservation};
+use crate::policy::allowance::{Reservation, Snapshot};
 use crate::policy::dispatch::{Ask, Outcome};
 use crate::telemetry::event;
 use serde::{Deserialize, Serialize};
@@ -86,7 +86,7 @@
         part: u64,
         epoch: u64,
         /// Programs, and the allowance that the store still lacks; zero where it lacks none.
-        entries: Vec<(Entry, u64)>,
+        entries: Vec<(Snapshot, u64)>,
         /// Whether tokens that were given without a record may have been forgotten.
         doubtful: bool,
         /// Whether these are the first ones.
--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -168,7 +168,7 @@
         program: job.meta.program.as_ref().map(|program| hash(program)),
         class: begins.then(|| hash(&job.route.name)),
         // Beyond that what is left does not suffice for its server.
-        patience: job.left() / 2,
+        max_wait: job.left() / 2,
     };
     let began = Instant::now();
     let pause = job
--- a/src/gateway/tokens/counter.rs
+++ b/src/gateway/tokens/counter.rs
@@ -5,7 +5,7 @@
 use crate::gateway::tokens::part::Part;
 use crate::gateway::{Gateway, peers};
 use crate::id::{Shard, rendezvous};
-use crate::policy::allowance::{Reservation, Turn, Verdict};
+use crate::policy::allowance::{self, Reservation, Verdict};
 use crate::telemetry::event;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
     part: u64,
     program: &'a str,
     reservation: Reservation,
-    turn: Turn,
+    turn: allowance::Request,
     takeover: bool,
 }
 
@@ -96,7 +96,7 @@
                         vm: peers::vm_number(asked.0),
                         number: reservation,
                     },
-                    turn: Turn { budget, most, seen },
+                    turn: allowance::Request { budget, most, seen },
                     takeover,
                 };
                 self.count(request).await
@@ -145,7 +145,7 @@
                 ending,
             } => {
                 if doubtful {
-                    self.keeper.part(part).ledger.borrow_mut().doubt();
+                    self.keeper.part(part).ledger.borrow_mut().mark_incomplete();
                 }
                 self.adopt(part, epoch, entries, (first, last), ending)
                     .await
@@ -195,7 +195,7 @@
             .ledger
             .borrow_mut()
             .reserve(Instant::now(), program, reservation, turn);
-        let (turns, total) = part.ledger.borrow().standing(program);
+        let (turns, total) = part.ledger.borrow().usage(program);
         if verdict != Verdict::Covered || self.sampler.takes(program) {
             event!(
                 info,
@@ -238,7 +238,7 @@
         number: u64,
         part: &Rc<Part>,
         program: &str,
-        turn: Turn,
+        turn: allowance::Request,
         allowed: u64,
     ) -> bool {
         let hold = part.hold.get();
@@ -276,7 +276,7 @@
             }
             Err(_) if self.keeper.detour(number, part, &copy).await => true,
             Err(_)
-                if !part.ledger.borrow().bears(program, turn)
+                if !part.ledger.borrow().allows_unrecorded(program, turn)
                     || !self.reaches_most().await
                     || self.others_have_store(part).await =>
             {
--- a/src/gateway/tokens/failover.rs
+++ b/src/gateway/tokens/failover.rs
@@ -84,12 +84,12 @@
                 Some(other) if part.hold.get().is_none() => {
                     match self.counts_elsewhere(number, other).await {
                         Some(true) => return Taking::CountedBy(other),
-                        Some(false) => Origin::GivenUp,
-                        None => Origin::Silent(Instant::now()),
+                        Some(false) => Origin::Released,
+                        None => Origin::Unresponsive(Instant::now()),
                     }
                 }
                 // A record that can't be read, or what this VM counts from copies already.
-                _ => Origin::GivenUp,
+                _ => Origin::Released,
             };
             // It goes on where this request gives up, so that the next one finds it done.
             let taking = Rc::clone(self).take(number, Rc::clone(part), owner.end, origin);
--- a/src/gateway/tokens/handover.rs
+++ b/src/gateway/tokens/handover.rs
@@ -5,7 +5,7 @@
 use crate::gateway::tokens::counter::TAKE;
 use crate::gateway::tokens::keeper::PATIENCE;
 use crate::gateway::tokens::part::{Hold, Part};
-use crate::policy::allowance::Entry;
+use crate::policy::allowance::Snapshot;
 use crate::policy::share::Origin;
 use crate::telemetry::event;
 use std::rc::Rc;
@@ -112,10 +112,10 @@
         number: u64,
         part: &Part,
         (next, hold): (&Peer, Hold),
-        entries: &[(Entry, u64)],
+        entries: &[(Snapshot, u64)],
         reason: Reason,
     ) -> bool {
-        let doubtful = part.ledger.borrow().is_doubtful();
+        let doubtful = part.ledger.borrow().is_incomplete();
         let chunks = entries.len().div_ceil(ADOPTED).max(1);
         for index in 0..chunks {
             let chunk = entries.iter().skip(index * ADOPTED).take(ADOPTED);
@@ -140,7 +140,7 @@
         self: &Rc<Self>,
         number: u64,
         epoch: u64,
-        entries: Vec<(Entry, u64)>,
+        entries: Vec<(Snapshot, u64)>,
         (first, last): (bool, bool),
         ending: bool,
     ) -> Reply {
--- a/src/gateway/tokens/keeper.rs
+++ b/src/gateway/tokens/keeper.rs
@@ -11,7 +11,7 @@
 use crate::id::{Epoch, Shard};
 use crate::platform::records::ALLOWANCE_TOPIC;
 use crate::platform::store::{Fault, Keyed, Store, Writer};
-use crate::policy::allowance::{Entry, Reservation};
+use crate::policy::allowance::{Reservation, Snapshot};
 use crate::policy::share::Origin;
 use crate::telemetry::event;
 use bytes::Bytes;
@@ -308,14 +308,20 @@
     }
 
     /// Goes on with a partition that another VM hands over.
-    pub(crate) fn adopt(&self, number: u64, epoch: u64, entries: Vec<(Entry, u64)>, fenced: bool) {
+    pub(crate) fn adopt(
+        &self,
+        number: u64,
+        epoch: u64,
+        entries: Vec<(Snapshot, u64)>,
+        fenced: bool,
+    ) {
         let part = self.part(number);
         let now = Instant::now();
         for (entry, lacking) in entries {
             if lacking > 0 {
                 part.lack(&entry.program, lacking);
             }
-            part.ledger.borrow_mut().adopt(now, entry);
+            part.ledger.borrow_mut().import(now, entry);
         }
         let programs = part.ledger.borrow().len();
         event!(
--- a/src/gateway/tokens/part.rs
+++ b/src/gateway/tokens/part.rs
@@ -1,7 +1,7 @@
 //! One partition of programs: its ledger, and what is known of its records.
 
 use crate::gateway::limits::count::Counted;
-use crate::policy::allowance::{Entry, Ledger};
+use crate::policy::allowance::{Ledger, Snapshot};
 use crate::policy::share::Origin;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -48,7 +48,7 @@
     /// Told when that is over.
     pub(crate) handed: Notify,
     /// What another VM is handing over.
-    pub(crate) incoming: RefCell<Vec<(Entry, u64)>>,
+    pub(crate) incoming: RefCell<Vec<(Snapshot, u64)>>,
     /// Where the partition was handed over to.
     pub(crate) successor: Cell<Option<SocketAddr>>,
     pub(crate) taking: Mutex<()>,
@@ -80,13 +80,13 @@
     }
 
     /// Its programs, each with the allowance that the store still lacks, or zero.
-    pub(crate) fn entries(&self) -> Vec<(Entry, u64)> {
+    pub(crate) fn entries(&self) -> Vec<(Snapshot, u64)> {
         let pending = self.pending.borrow();
         let entries = self.ledger.borrow().export().into_iter();
         let entries = entries.map(|entry| {
             let lacking = pending.get(&entry.program).copied().unwrap_or_default();
             let allowed = entry.allowed.max(lacking);
-            (Entry { allowed, ..entry }, lacking)
+            (Snapshot { allowed, ..entry }, lacking)
         });
         entries.collect()
     }
@@ -103,7 +103,7 @@
         let mut pending = self.pending.borrow_mut();
         let mut ledger = self.ledger.borrow_mut();
         for (program, allowed) in batch {
-            ledger.recorded(&program, allowed);
+            ledger.mark_recorded(&program, allowed);
             if pending
                 .get(&program)
                 .is_some_and(|newest| *newest <= allowed)
--- a/src/gateway/tokens/reach.rs
+++ b/src/gateway/tokens/reach.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::Gateway;
 use crate::gateway::peers::{Peer, Question, Reply};
-use crate::policy::outage::still_heard;
+use crate::policy::outage::heard_after_loss;
 use futures::future::join_all;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -24,7 +24,7 @@
             let Ok(Some(Reply::Heard { ago_ms })) = reply.await else {
                 return None;
             };
-            still_heard(time, ago_ms.map(Duration::from_millis)).then_some(peer)
+            heard_after_loss(time, ago_ms.map(Duration::from_millis)).then_some(peer)
         });
         join_all(asks).await.into_iter().flatten().collect()
     }
--- a/src/gateway/tokens/takeover.rs
+++ b/src/gateway/tokens/takeover.rs
@@ -95,7 +95,7 @@
             programs = ledger.len(),
             copies = kept.len(),
             oldest_ms = part.oldest_ms.get(),
-            doubtful = ledger.is_doubtful()
+            doubtful = ledger.is_incomplete()
         );
         // What the store has not taken yet must not be lost to the next VM.
         for (program, (allowed, _)) in kept {
@@ -206,10 +206,10 @@
         // What was adopted, or counted while the store was away, is known better than its records.
         let mut ledger = part.ledger.take();
         if part.hold.get().is_none() {
-            let doubtful = ledger.is_doubtful();
+            let doubtful = ledger.is_incomplete();
             ledger = Ledger::default();
             if doubtful {
-                ledger.doubt();
+                ledger.mark_incomplete();
             }
         }
         let programs = records.iter();
@@ -223,7 +223,7 @@
         // Where nobody was asked, this VM has been told all by the one before.
         let oldest_ms = part.oldest_ms.get().max(self.up_ms());
         if is_doubtful(records, oldest_ms) {
-            ledger.doubt();
+            ledger.mark_incomplete();
             let until = clock::wall_ms() + u64::try_from(IDLE.as_millis()).unwrap_or(u64::MAX);
             part.lack(DOUBT_KEY, until);
         }
@@ -257,7 +257,7 @@
             sequence: 0,
             fenced: false,
             // The one before does not answer.
-            origin: Origin::Silent(Instant::now()),
+            origin: Origin::Unresponsive(Instant::now()),
         }));
         true
     }
--- a/src/gateway/world/contact.rs
+++ b/src/gateway/world/contact.rs
@@ -5,7 +5,7 @@
 use crate::member::{Introduction, List};
 use crate::platform::records::CONTACT_TOPIC;
 use crate::platform::store::{Fault, Keyed, Newest, Store};
-use crate::policy::cells::{cell, readers};
+use crate::policy::cells::{cell, ranked_readers};
 use crate::policy::relay::Peer;
 use crate::settings;
 use crate::telemetry::event;
@@ -175,7 +175,7 @@
             }
         };
         let peers: Vec<Peer> = near.introductions.iter().map(peer).collect();
-        for reader in readers(&peers).into_iter().take(ASKED) {
+        for reader in ranked_readers(&peers).into_iter().take(ASKED) {
             if reader.vm == self.vm {
                 break;
             }
--- a/src/gateway/world/relay/ask.rs
+++ b/src/gateway/world/relay/ask.rs
@@ -4,7 +4,7 @@
 use super::{COPIES, Heard, Relay};
 use crate::gateway::world::state::apply_change;
 use crate::id::Offset;
-use crate::policy::relay::{Asker, Step, step};
+use crate::policy::relay::{Requester, Step, next_step};
 use crate::telemetry::event;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,10 +26,10 @@
         sources: &[SocketAddr],
         reads: bool,
     ) -> Heard {
-        let asker = Asker {
+        let asker = Requester {
             period: self.period,
-            waits: self.as_of().is_none().then(|| self.began.elapsed()),
-            reads: reads && self.has_store.get(),
+            without_directory_for: self.as_of().is_none().then(|| self.began.elapsed()),
+            may_read_store: reads && self.has_store.get(),
         };
         for source in sources {
             if self.is_passed_over(*source) {
@@ -37,7 +37,7 @@
             }
             let began = Instant::now();
             let step = match self.ask(*source).await {
-                Some(news) => match step(news.standing(), asker) {
+                Some(news) => match next_step(news.standing(), asker) {
                     Step::Use => self.learn(&news, began, true),
                     Step::Wait => return Heard::Soon,
                     Step::Next => None,
--- a/src/gateway/world/relay/mod.rs
+++ b/src/gateway/world/relay/mod.rs
@@ -175,9 +175,9 @@
         let order = sources.relays();
         let has_store = self.has_store.get();
         // The first one goes on trying: the partition of the directory may be there where others are not.
-        let reads = order.before.is_empty() || order.reads && has_store;
-        let mut asked = order.before;
-        if !order.reads || !has_store {
+        let reads = order.upstreams.is_empty() || order.may_read_store && has_store;
+        let mut asked = order.upstreams;
+        if !order.may_read_store || !has_store {
             asked.extend(sources.some_relays(AT_RANDOM));
         }
         (asked, reads)
--- a/src/gateway/world/relay/wire.rs
+++ b/src/gateway/world/relay/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::world::directory::Change;
 use crate::id::Offset;
-use crate::policy::relay::Standing;
+use crate::policy::relay::Status;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -37,8 +37,8 @@
 }
 
 impl News {
-    pub(super) fn standing(&self) -> Standing {
-        Standing {
+    pub(super) fn standing(&self) -> Status {
+        Status {
             age: self.age_ms.map(Duration::from_millis),
             has_store: self.has_store,
         }
--- a/src/gateway/world/sources.rs
+++ b/src/gateway/world/sources.rs
@@ -3,7 +3,7 @@
 use crate::gateway::world::state::World;
 use crate::id;
 use crate::member::View;
-use crate::policy::copies::{Holder, order};
+use crate::policy::copies::{Source, order_sources};
 use crate::policy::relay;
 use crate::settings;
 use rand::seq::IteratorRandom;
@@ -56,7 +56,7 @@
     }
 
     /// Whom this VM asks for changes to the directory.
-    pub(super) fn relays(&self) -> relay::Order {
+    pub(super) fn relays(&self) -> relay::Sources {
         let view = self.view.borrow();
         let members = view.members.values();
         let members = members.filter(|member| !member.suspect || member.vm == self.vm);
@@ -68,7 +68,7 @@
                 cores: member.cores,
             })
             .collect();
-        relay::order(&self.vm, &peers)
+        relay::sources(&self.vm, &peers)
     }
 
     /// Some other VMs at random, to be asked for changes.
@@ -98,18 +98,18 @@
     /// Where other VMs give copies, in the order in which they are asked.
     pub(super) fn addresses(&self) -> Vec<SocketAddr> {
         let view = self.view.borrow();
-        let members = view.members.values().map(|member| Holder {
+        let members = view.members.values().map(|member| Source {
             address: SocketAddr::new(member.address.ip(), self.port),
-            near: member.zone == self.zone,
-            newest: member.applied == view.newest,
+            same_zone: member.zone == self.zone,
+            has_newest: member.applied == view.newest,
         });
-        let seeds = self.seeds.iter().map(|seed| Holder {
+        let seeds = self.seeds.iter().map(|seed| Source {
             address: SocketAddr::new(seed.ip(), self.port),
-            near: false,
-            newest: false,
+            same_zone: false,
+            has_newest: false,
         });
-        let mut holders: Vec<Holder> = members.chain(seeds).collect();
-        order(&mut holders, &mut rand::rng());
+        let mut holders: Vec<Source> = members.chain(seeds).collect();
+        order_sources(&mut holders, &mut rand::rng());
         let mut listed = HashSet::new();
         let addresses = holders.into_iter().map(|holder| holder.address);
         addresses
--- a/src/owner/model.rs
+++ b/src/owner/model.rs
@@ -192,9 +192,9 @@
             outcome.cached = usage.cached;
             let fresh = usage.prompt.0.saturating_sub(usage.cached.0);
             let mut forecast = self.forecast.borrow_mut();
-            forecast.rates(lease.grant.rates);
+            forecast.set_rates(lease.grant.rates);
             let (now, made) = (Instant::now(), usage.completion.0);
-            forecast.answered(now, run.program, now - sent, fresh, made);
+            forecast.record_answer(now, run.program, now - sent, fresh, made);
         }
         lease.done(outcome).await;
         match usage {
--- a/src/owner/serve.rs
+++ b/src/owner/serve.rs
@@ -280,7 +280,7 @@
             self.changed.notify_waiters();
             ended?;
             let (now, whole) = (Instant::now(), reason.is_none());
-            self.forecast.borrow_mut().ended(now, id, whole);
+            self.forecast.borrow_mut().record_end(now, id, whole);
         }
     }
 
--- a/src/owner/urgency.rs
+++ b/src/owner/urgency.rs
@@ -42,7 +42,7 @@
     pub(super) fn urgency(&self, program: &Program, class: &config::Class) -> Urgency {
         let now = Instant::now();
         let mut forecast = self.forecast.borrow_mut();
-        if !forecast.knows(program.id) {
+        if !forecast.contains(program.id) {
             forecast.start(now, program.id, met(now, program, class));
         }
         forecast.urgency(now, program.id).unwrap_or(Urgency {
@@ -72,7 +72,7 @@
             return;
         }
         let shards = self.shards.borrow();
-        forecast.keep(|program| {
+        forecast.retain(|program| {
             let held = shards.get(&program.shard());
             held.and_then(|held| held.table.get(program).ok())
                 .is_some_and(|program| !program.is_ended())
--- a/src/policy/allowance.rs
+++ b/src/policy/allowance.rs
@@ -27,7 +27,7 @@
 
 /// A request to reserve tokens for one turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Turn {
+pub struct Request {
     /// Tokens that all turns of the program together may generate.
     pub budget: u64,
     /// Maximum number of tokens that this turn may generate.
@@ -71,7 +71,7 @@
 /// The account of one program, as handed over to another VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Entry {
+pub struct Snapshot {
     /// Id of the program.
     pub program: String,
     /// Tokens covered by the durable allowance.
@@ -88,13 +88,13 @@
 ///
 /// ```
 /// use tokio::time::Instant;
-/// use vanillatrail::policy::allowance::{Ledger, Reservation, Turn, Verdict};
+/// use vanillatrail::policy::allowance::{Ledger, Request, Reservation, Verdict};
 /// let (now, mut ledger) = (Instant::now(), Ledger::default());
-/// let turn = Turn { budget: 900, most: 290, seen: 0 };
+/// let request = Request { budget: 900, most: 290, seen: 0 };
 /// let first = Reservation { vm: 1, number: 1 };
-/// assert_eq!(ledger.reserve(now, "p", first, turn), Verdict::Record(580));
-/// ledger.recorded("p", 580);
-/// assert_eq!(ledger.reserve(now, "p", first, turn), Verdict::Covered);
+/// assert_eq!(ledger.reserve(now, "p", first, request), Verdict::Record(580));
+/// ledger.mark_recorded("p", 580);
+/// assert_eq!(ledger.reserve(now, "p", first, request), Verdict::Covered);
 /// ```
 #[derive(Debug, Default)]
 pub struct Ledger {
@@ -105,7 +105,7 @@
     is_incomplete: bool,
 }
 
-impl Turn {
+impl Request {
     /// Maximum number of tokens that a program may be granted beyond its durable allowance.
     ///
     /// While the store is unavailable, grants exist only in the memory of a few VMs. If all of these fail, this maximum
@@ -127,34 +127,34 @@
 
     /// Notes that unrecorded grants may have been lost: for every program that is new to this ledger, the maximum of
     /// such grants counts as spent.
-    pub const fn doubt(&mut self) {
+    pub const fn mark_incomplete(&mut self) {
         self.is_incomplete = true;
     }
 
     /// Whether unrecorded grants may have been lost.
     #[must_use]
-    pub const fn is_doubtful(&self) -> bool {
+    pub const fn is_incomplete(&self) -> bool {
         self.is_incomplete
     }
 
     /// Whether the tokens spent or reserved by a program stay within what may be granted without a durable record.
     #[must_use]
-    pub fn bears(&self, program: &str, turn: Turn) -> bool {
-        let (_, total) = self.standing(program);
-        total <= self.allowed(program) + turn.max_unrecorded_tokens()
+    pub fn allows_unrecorded(&self, program: &str, request: Request) -> bool {
+        let (_, total) = self.usage(program);
+        total <= self.allowed(program) + request.max_unrecorded_tokens()
     }
 
     /// All accounts, for the VM that takes over the partition.
     #[must_use]
-    pub fn export(&self) -> Vec<Entry> {
-        let entry = |(program, account): (&String, &Account)| Entry {
+    pub fn export(&self) -> Vec<Snapshot> {
+        let snapshot = |(program, account): (&String, &Account)| Snapshot {
             program: program.clone(),
             allowed: account.allowed,
             spent: account.spent,
             turns: account.turns,
             open: self.open_reservations(program),
         };
-        self.accounts.iter().map(entry).collect()
+        self.accounts.iter().map(snapshot).collect()
     }
 
     fn open_reservations(&self, program: &str) -> Vec<(Reservation, u64)> {
@@ -169,18 +169,18 @@
     ///
     /// The other VM may have been fenced off without noticing. An allowance beyond the one it knew was then recorded by
     /// a third VM, and the difference counts as spent.
-    pub fn adopt(&mut self, now: Instant, entry: Entry) {
-        let account = self.account(now, &entry.program);
+    pub fn import(&mut self, now: Instant, snapshot: Snapshot) {
+        let account = self.account(now, &snapshot.program);
         if account.turns > 0 {
-            return self.restore(now, &entry.program, entry.allowed);
+            return self.restore(now, &snapshot.program, snapshot.allowed);
         }
-        let recorded_by_others = account.allowed.saturating_sub(entry.allowed);
-        account.allowed = account.allowed.max(entry.allowed);
-        account.spent = entry.spent + recorded_by_others;
-        account.turns = entry.turns;
-        account.reserved = entry.open.iter().map(|(_, max_tokens)| max_tokens).sum();
-        let program = entry.program;
-        let open = entry.open.into_iter();
+        let recorded_by_others = account.allowed.saturating_sub(snapshot.allowed);
+        account.allowed = account.allowed.max(snapshot.allowed);
+        account.spent = snapshot.spent + recorded_by_others;
+        account.turns = snapshot.turns;
+        account.reserved = snapshot.open.iter().map(|(_, max_tokens)| max_tokens).sum();
+        let program = snapshot.program;
+        let open = snapshot.open.into_iter();
         self.open.extend(
             open.map(|(reservation, max_tokens)| (reservation, (program.clone(), max_tokens))),
         );
@@ -203,11 +203,11 @@
         now: Instant,
         program: &str,
         reservation: Reservation,
-        turn: Turn,
+        request: Request,
     ) -> Verdict {
         let is_known = self.open.contains_key(&reservation);
         let maybe_lost = if self.is_incomplete {
-            turn.max_unrecorded_tokens()
+            request.max_unrecorded_tokens()
         } else {
             0
         };
@@ -215,34 +215,34 @@
         account.last_used = now;
         if account.turns == 0 {
             // `seen` counts turns in progress at their maximum, so it is used only until turns are counted here.
-            account.spent = (account.spent + maybe_lost).max(turn.seen);
+            account.spent = (account.spent + maybe_lost).max(request.seen);
         }
         if !is_known {
             // A turn that starts within the budget may exceed it.
-            if account.spent + account.reserved >= turn.budget {
+            if account.spent + account.reserved >= request.budget {
                 return Verdict::Spent;
             }
-            account.reserved += turn.most;
+            account.reserved += request.most;
             account.turns += 1;
         }
         let needed = account.spent + account.reserved;
         let verdict = if needed <= account.allowed {
             Verdict::Covered
         } else {
-            let step =
-                (turn.most * MIN_TURNS_PER_ALLOWANCE).max(turn.budget / MAX_ALLOWANCES_PER_BUDGET);
-            let allowance = (needed - turn.most + step).min(turn.budget + turn.most);
+            let step = (request.most * MIN_TURNS_PER_ALLOWANCE)
+                .max(request.budget / MAX_ALLOWANCES_PER_BUDGET);
+            let allowance = (needed - request.most + step).min(request.budget + request.most);
             Verdict::Record(allowance.max(needed))
         };
         if !is_known {
             self.open
-                .insert(reservation, (program.to_owned(), turn.most));
+                .insert(reservation, (program.to_owned(), request.most));
         }
         verdict
     }
 
     /// Notes that an allowance is durable.
-    pub fn recorded(&mut self, program: &str, allowed: u64) {
+    pub fn mark_recorded(&mut self, program: &str, allowed: u64) {
         if let Some(account) = self.accounts.get_mut(program) {
             account.allowed = account.allowed.max(allowed);
         }
@@ -275,7 +275,7 @@
 
     /// Number of turns of a program that have reserved tokens, and its tokens spent or reserved.
     #[must_use]
-    pub fn standing(&self, program: &str) -> (u32, u64) {
+    pub fn usage(&self, program: &str) -> (u32, u64) {
         let account = self.accounts.get(program);
         account.map_or((0, 0), |account| {
             (account.turns, account.spent + account.reserved)
--- a/src/policy/cells.rs
+++ b/src/policy/cells.rs
@@ -1,10 +1,10 @@
-//! Assigns VMs to cells, the partitions of the store in which they publish their contact records.
+//! Assigns VMs to cells, the partitions of the store in which they publish their introduction records.
 //!
 //! If every VM read the records of all VMs, the load on the store would grow with the square of their number, and a
 //! single partition would take all writes one after the other. So a VM writes to and reads its own cell, and one VM of
 //! each cell reads all cells for the others.
 
-use super::relay::{Peer, ranked};
+use super::relay::{Peer, rank_peers};
 use crate::id::{Vm, Zone};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -31,6 +31,6 @@
 
 /// The VMs of a cell, in the order in which they are preferred to read all cells.
 #[must_use]
-pub fn readers(cell: &[Peer]) -> Vec<&Peer> {
-    ranked(RANK_KEY, cell)
+pub fn ranked_readers(cell: &[Peer]) -> Vec<&Peer> {
+    rank_peers(RANK_KEY, cell)
 }
--- a/src/policy/forecast.rs
+++ b/src/policy/forecast.rs
@@ -1,6 +1,6 @@
 //! Estimates what the programs of an owner still need, and decides which programs may start.
 
-use super::admit::Gate;
+use super::admit::Admission;
 use super::estimate::{Estimator, Rest, Track};
 use super::latency::Rates;
 use crate::id::{Class, Program};
@@ -78,7 +78,7 @@
 #[derive(Debug, Default)]
 pub struct Forecast {
     estimator: Estimator,
-    gate: Gate,
+    admission: Admission,
     /// `None` until the dispatcher has reported them.
     rates: Option<Rates>,
     programs: HashMap<Program, ActiveProgram>,
@@ -88,7 +88,7 @@
 
 impl Forecast {
     /// Stores the newest rates reported by the dispatcher of the pool.
-    pub fn rates(&mut self, rates: Rates) {
+    pub fn set_rates(&mut self, rates: Rates) {
         self.rates = Some(rates);
     }
 
@@ -105,7 +105,7 @@
         }
         let work_ms = self.remaining(start, start.answers).work_ms;
         let capacity = rates.capacity * share;
-        self.gate.admit(now, start.deadline, work_ms, capacity)
+        self.admission.admit(now, start.deadline, work_ms, capacity)
     }
 
     /// Starts to track a program that has started, or that is first seen after a takeover.
@@ -133,7 +133,7 @@
     }
 
     /// Removes the programs for which `is_kept` returns false, without learning from them.
-    pub fn keep(&mut self, is_kept: impl Fn(Program) -> bool) {
+    pub fn retain(&mut self, is_kept: impl Fn(Program) -> bool) {
         let removed: Vec<Program> = self
             .programs
             .keys()
@@ -142,13 +142,13 @@
             .collect();
         for program in removed {
             self.programs.remove(&program);
-            self.gate.drop(program);
+            self.admission.release(program);
         }
     }
 
     /// Whether the program is tracked.
     #[must_use]
-    pub fn knows(&self, program: Program) -> bool {
+    pub fn contains(&self, program: Program) -> bool {
         self.programs.contains_key(&program)
     }
 
@@ -164,7 +164,7 @@
             - now.saturating_duration_since(start.deadline).as_secs_f64();
         let slack_secs = left_secs - remaining.time.as_secs_f64();
         if start.waiting && slack_secs < -LATE_FRACTION * remaining.time.as_secs_f64() {
-            self.gate.late(root);
+            self.admission.mark_late(root);
         }
         #[expect(clippy::cast_possible_truncation, reason = "milliseconds")]
         let slack_ms = (slack_secs * 1000.0) as i64;
@@ -175,7 +175,7 @@
     }
 
     /// Records a model call that took `duration`, with `uncached` prompt tokens and `generated` tokens of output.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         now: Instant,
         program: Program,
@@ -201,14 +201,14 @@
 
     /// Mean time between two model calls for programs of the same class; 1 s until one has been measured.
     #[must_use]
-    pub fn pause(&self, program: Program) -> Duration {
+    pub fn mean_pause(&self, program: Program) -> Duration {
         let active = self.programs.get(&program);
         let mean = active.and_then(|active| self.pauses.get(&active.start.class));
         Duration::from_secs_f64(mean.copied().unwrap_or(1.0))
     }
 
     /// Stops tracking a program that has ended. Its class learns from it if `completed`, that is if it ended by itself.
-    pub fn ended(&mut self, now: Instant, program: Program, completed: bool) {
+    pub fn record_end(&mut self, now: Instant, program: Program, completed: bool) {
         let Some(ActiveProgram { start, track, .. }) = self.programs.remove(&program) else {
             return;
         };
@@ -219,9 +219,9 @@
             return;
         }
         if start.waiting {
-            self.gate.ended(program, now <= start.deadline);
+            self.admission.record_end(program, now <= start.deadline);
         } else {
-            self.gate.drop(program);
+            self.admission.release(program);
         }
     }
 
@@ -288,7 +288,7 @@
             let work_ms = self
                 .remaining(&active.start, active.track.answers())
                 .work_ms;
-            self.gate.promise(now, program, deadline, work_ms);
+            self.admission.reserve(now, program, deadline, work_ms);
         }
     }
 }
--- a/src/policy/limit.rs
+++ b/src/policy/limit.rs
@@ -1,24 +1,24 @@
-//! Rate limit of a team: a token bucket combined with a sliding window.
+//! Rate limit of a team: a token bucket combined with a sliding time window.
 //!
-//! One VM counts the requests of a team. If it fails, another VM takes over without knowing what was granted. The new
-//! counter therefore starts with an almost empty bucket, so that the grants of both stay within the tolerance without
-//! any stored state.
+//! One VM, the owner, counts the requests of a team. If it fails, another VM takes over without knowing what was
+//! granted. The new owner therefore starts with an almost empty bucket, so that the grants of both stay within the
+//! tolerance without any stored state.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Resolution of the sliding window.
+/// Resolution of the sliding time window.
 const SLICE: Duration = Duration::from_millis(100);
 /// Fraction of the tolerance that the bucket may use. The rest is for takeovers, and for requests that reach a server
 /// later than requests granted after them.
 const BUCKET_TOLERANCE_FRACTION: f64 = 0.8;
-/// Tokens in the bucket of a new counter, so that a team that sends one request at a time does not wait.
+/// Tokens in the bucket of a new owner, so that a team that sends one request at a time does not wait.
 const INITIAL_TOKENS: f64 = 1.0;
-/// Longest time between granting a request and sending it. A new counter starts no earlier than this after the last
+/// Longest time between granting a request and sending it. A new owner starts no earlier than this after the last
 /// grant of the previous one, so that all requests granted by that one have been sent.
-pub const AHEAD: Duration = Duration::from_millis(300);
+pub const MAX_GRANT_DELAY: Duration = Duration::from_millis(300);
 
 /// How many requests of a team may reach backend servers, over all VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
@@ -32,8 +32,8 @@
 
 /// How closely limits are enforced, from the settings of the deployment.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bound {
-    /// Length of the sliding window over which requests are counted.
+pub struct Tolerance {
+    /// Length of the sliding time window over which requests are counted.
     pub window: Duration,
     /// Fraction of the limit by which it may be exceeded within a window.
     pub excess: f64,
@@ -41,13 +41,13 @@
     pub slack: f64,
 }
 
-impl Bound {
+impl Tolerance {
     fn max_in_window(&self, limit: Limit) -> f64 {
         limit.per_second * self.window.as_secs_f64() + limit.burst
     }
 
     /// Requests by which the limit may be exceeded within a window.
-    fn tolerance(&self, limit: Limit) -> f64 {
+    fn max_excess(&self, limit: Limit) -> f64 {
         self.max_in_window(limit) * self.excess + self.slack
     }
 
@@ -57,7 +57,7 @@
     /// that several programs in a row do not have to wait for the bucket to refill. Otherwise the limit's own rate and
     /// burst are used.
     fn bucket(&self, limit: Limit) -> (f64, f64) {
-        let usable = self.tolerance(limit) * BUCKET_TOLERANCE_FRACTION;
+        let usable = self.max_excess(limit) * BUCKET_TOLERANCE_FRACTION;
         if usable < limit.burst / 2.0 {
             return (limit.per_second, limit.burst.max(1.0));
         }
@@ -68,18 +68,18 @@
     }
 }
 
-/// The share of a limit that one counter may grant while another VM may be counting the same team.
+/// The share of a limit that a VM may grant while another VM may also act as owner of the team.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Share {
-    /// The whole limit: no other VM counts the team.
+    /// The whole limit: no other VM grants requests of the team.
     Whole,
-    /// Half of the limit: one other VM may be granting the other half.
+    /// Half of the limit: another VM may be granting the other half.
     Half,
     /// This fraction of the tolerance: another VM may be granting the whole limit.
     Tolerance(f64),
 }
 
-/// The share of a limit that this counter may grant.
+/// What this VM may grant, computed from the team limit and the share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct LocalLimit {
     per_second: f64,
@@ -88,20 +88,20 @@
 }
 
 impl LocalLimit {
-    fn new(bound: &Bound, limit: Limit, share: Share) -> Self {
-        let (per_second, bucket_size) = bound.bucket(limit);
+    fn new(tolerance: &Tolerance, limit: Limit, share: Share) -> Self {
+        let (per_second, bucket_size) = tolerance.bucket(limit);
         let whole = Self {
             per_second,
             bucket_size,
-            max_in_window: bound.max_in_window(limit),
+            max_in_window: tolerance.max_in_window(limit),
         };
         match share {
             Share::Whole => whole,
             Share::Half => whole.scaled(0.5),
             Share::Tolerance(fraction) => {
-                let max = bound.tolerance(limit) * fraction;
+                let max = tolerance.max_excess(limit) * fraction;
                 Self {
-                    per_second: max / bound.window.as_secs_f64(),
+                    per_second: max / tolerance.window.as_secs_f64(),
                     bucket_size: max.min(INITIAL_TOKENS),
                     max_in_window: max,
                 }
@@ -118,37 +118,37 @@
     }
 }
 
-/// Token bucket and sliding window of one team.
+/// Token bucket and sliding time window of one team.
 ///
 /// ```
 /// use std::time::Duration;
 /// use tokio::time::Instant;
-/// use vanillatrail::policy::limit::{Bound, Limit, Meter, Share};
-/// let bound = Bound { window: Duration::from_secs(5), excess: 0.1, slack: 20.0 };
+/// use vanillatrail::policy::limit::{Limit, Limiter, Share, Tolerance};
+/// let tolerance = Tolerance { window: Duration::from_secs(5), excess: 0.1, slack: 20.0 };
 /// let limit = Limit { per_second: 10.0, burst: 10.0 };
 /// let now = Instant::now();
-/// let mut meter = Meter::new(now);
-/// meter.set(now, &bound, limit, Share::Whole);
-/// let at_once = (0..100).take_while(|_| meter.take(now, Duration::ZERO).is_ok()).count();
+/// let mut limiter = Limiter::new(now);
+/// limiter.configure(now, &tolerance, limit, Share::Whole);
+/// let at_once = (0..100).take_while(|_| limiter.try_acquire(now, Duration::ZERO).is_ok()).count();
 /// assert_eq!(at_once, 1);
-/// assert!(meter.take(now, Duration::from_secs(1)).is_ok());
+/// assert!(limiter.try_acquire(now, Duration::from_secs(1)).is_ok());
 /// ```
 #[derive(Debug)]
-pub struct Meter {
+pub struct Limiter {
     local_limit: LocalLimit,
     window: Duration,
     /// Content of the bucket; negative while granted requests have not been sent yet.
     tokens: f64,
-    /// When the bucket was last refilled; in the future until a new counter may begin to grant.
+    /// When the bucket was last refilled; in the future until a new owner may begin to grant.
     refilled_at: Instant,
     /// Start of each time slice and the requests sent in it, the oldest first.
     slices: VecDeque<(Instant, u32)>,
     /// Sum of the counts in `slices`.
-    granted: u32,
+    granted_in_window: u32,
 }
 
-impl Meter {
-    /// Creates a counter that may grant from `start` on. Call `set` before the first request.
+impl Limiter {
+    /// Creates a limiter that may grant from `start` on. Call `configure` before the first request.
     #[must_use]
     pub fn new(start: Instant) -> Self {
         Self {
@@ -161,19 +161,19 @@
             tokens: INITIAL_TOKENS,
             refilled_at: start,
             slices: VecDeque::new(),
-            granted: 0,
+            granted_in_window: 0,
         }
     }
 
     /// Sets the limit and the share of it that may be granted from `now` on.
-    pub fn set(&mut self, now: Instant, bound: &Bound, limit: Limit, share: Share) {
+    pub fn configure(&mut self, now: Instant, tolerance: &Tolerance, limit: Limit, share: Share) {
         let unconfigured = self.window.is_zero();
-        let local_limit = LocalLimit::new(bound, limit, share);
+        let local_limit = LocalLimit::new(tolerance, limit, share);
         if !unconfigured {
             self.refill(now);
         }
         self.local_limit = local_limit;
-        self.window = bound.window;
+        self.window = tolerance.window;
         self.refill(now);
     }
 
@@ -187,23 +187,23 @@
         self.tokens = tokens.min(self.local_limit.bucket_size);
         let is_expired = |slice: &(Instant, u32)| slice.0 + self.window + SLICE <= now;
         while let Some((_, count)) = self.slices.pop_front_if(|slice| is_expired(slice)) {
-            self.granted -= count;
+            self.granted_in_window -= count;
         }
     }
 
-    /// Grants one request and returns how long to wait before sending it, which is at most `patience` and at most
-    /// [`AHEAD`].
+    /// Grants one request and returns how long to wait before sending it, which is at most `max_wait` and at most
+    /// [`MAX_GRANT_DELAY`].
     ///
     /// # Errors
     /// If the request would have to wait longer, the time it would have to wait.
-    pub fn take(&mut self, now: Instant, patience: Duration) -> Result<Duration, Duration> {
+    pub fn try_acquire(&mut self, now: Instant, max_wait: Duration) -> Result<Duration, Duration> {
         self.refill(now);
         let wait = self.wait_for(now, 1.0);
-        if wait > patience.min(AHEAD) {
+        if wait > max_wait.min(MAX_GRANT_DELAY) {
             return Err(wait);
         }
         self.tokens -= 1.0;
-        self.granted += 1;
+        self.granted_in_window += 1;
         let sent_at = now + wait;
         match self.slices.back_mut() {
             Some((start, count)) if *start + SLICE > sent_at => *count += 1,
@@ -225,9 +225,9 @@
         (bucket_wait + until_start).max(self.window_wait(now, count))
     }
 
-    /// Time until the sliding window has room for `count` more requests.
+    /// Time until the sliding time window has room for `count` more requests.
     fn window_wait(&self, now: Instant, count: f64) -> Duration {
-        let mut excess = f64::from(self.granted) + count - self.local_limit.max_in_window;
+        let mut excess = f64::from(self.granted_in_window) + count - self.local_limit.max_in_window;
         for (start, granted) in &self.slices {
             if excess <= 0.0 {
                 break;
@@ -246,7 +246,7 @@
 
     /// Number of requests that may be granted within `time` from the last refill on.
     #[must_use]
-    pub fn within(&self, time: Duration) -> f64 {
+    pub fn available_within(&self, time: Duration) -> f64 {
         let tokens = self.tokens + self.local_limit.per_second * time.as_secs_f64();
         tokens.min(self.local_limit.max_in_window)
     }
@@ -257,9 +257,9 @@
         self.local_limit.per_second
     }
 
-    /// Number of requests granted in the current window.
+    /// Number of requests granted in the current time window.
     #[must_use]
-    pub const fn granted(&self) -> u32 {
-        self.granted
+    pub const fn granted_in_window(&self) -> u32 {
+        self.granted_in_window
     }
 }
--- a/src/policy/outage.rs
+++ b/src/policy/outage.rs
@@ -13,23 +13,23 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use vanillatrail::policy::outage::still_heard;
+/// use vanillatrail::policy::outage::heard_after_loss;
 /// let second = Duration::from_secs(1);
-/// assert!(still_heard(second, Some(second / 2)));
-/// assert!(!still_heard(second, Some(second * 2)));
-/// assert!(!still_heard(second, None));
+/// assert!(heard_after_loss(second, Some(second / 2)));
+/// assert!(!heard_after_loss(second, Some(second * 2)));
+/// assert!(!heard_after_loss(second, None));
 /// ```
 #[must_use]
-pub fn still_heard(lost_for: Duration, heard_ago: Option<Duration>) -> bool {
+pub fn heard_after_loss(lost_for: Duration, heard_ago: Option<Duration>) -> bool {
     heard_ago.is_some_and(|heard_ago| heard_ago < lost_for)
 }
 
 /// Number of VMs that are asked to find out whether this VM reaches the majority.
-pub const SAMPLE: usize = 24;
+pub const REACHABILITY_SAMPLE_SIZE: usize = 24;
 
 /// How many of a sample of the other VMs answered this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reach {
+pub struct Reachability {
     /// VMs that answered.
     pub answered: usize,
     /// VMs in the sample.
@@ -38,22 +38,22 @@
     pub known: usize,
 }
 
-impl Reach {
+impl Reachability {
     /// Whether this VM is on the majority side of a network partition.
     ///
     /// If only a sample was asked, three quarters must have answered: more than half of a sample may by chance be on the
     /// minority side.
     ///
     /// ```
-    /// use vanillatrail::policy::outage::Reach;
-    /// let reach = |answered, asked, known| Reach { answered, asked, known };
-    /// assert!(reach(1, 2, 3).is_most());
-    /// assert!(!reach(2, 8, 9).is_most());
-    /// assert!(!reach(14, 24, 430).is_most());
-    /// assert!(reach(20, 24, 430).is_most());
+    /// use vanillatrail::policy::outage::Reachability;
+    /// let reach = |answered, asked, known| Reachability { answered, asked, known };
+    /// assert!(reach(1, 2, 3).is_majority());
+    /// assert!(!reach(2, 8, 9).is_majority());
+    /// assert!(!reach(14, 24, 430).is_majority());
+    /// assert!(reach(20, 24, 430).is_majority());
     /// ```
     #[must_use]
-    pub const fn is_most(&self) -> bool {
+    pub const fn is_majority(&self) -> bool {
         if self.asked + 1 >= self.known {
             return (self.answered + 1) * 2 > self.asked + 1;
         }
@@ -63,11 +63,11 @@
     /// Estimated fraction of all VMs that this VM reaches, itself included.
     ///
     /// ```
-    /// use vanillatrail::policy::outage::Reach;
-    /// assert_eq!(Reach { answered: 1, asked: 3, known: 4 }.part(), 0.5);
+    /// use vanillatrail::policy::outage::Reachability;
+    /// assert_eq!(Reachability { answered: 1, asked: 3, known: 4 }.share(), 0.5);
     /// ```
     #[must_use]
-    pub fn part(&self) -> f64 {
+    pub fn share(&self) -> f64 {
         (self.answered + 1) as f64 / (self.asked + 1) as f64
     }
 }
--- a/src/policy/pool.rs
+++ b/src/policy/pool.rs
@@ -1,7 +1,7 @@
 //! The queue before the servers of one pool, and the window of each server.
 
 use super::ask::{Action, Ask, Outcome};
-use super::latency::{Pace, Rates};
+use super::latency::{Model, Rates};
 use super::queue::{Band, Queue};
 use super::server::Server;
 use super::slack::Waiting;
@@ -56,7 +56,7 @@
     running: HashMap<Permit, usize>,
     places: HashMap<Program, Vec<usize>>,
     queue: Queue<Waiting>,
-    pace: Pace,
+    pace: Model,
     epoch: Option<Instant>,
     exports: bool,
 }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -5,7 +5,7 @@
 //! refused at its first request if the programs in progress are expected to use up the limit. Requests of admitted
 //! programs wait for the limit, and are refused only if the wait is too long.
 
-use super::limit::{Bound, Limit, Meter, Share};
+use super::limit::{Limit, Limiter, Share, Tolerance};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -25,7 +25,7 @@
 const SAMPLE_WEIGHT: f64 = 0.05;
 /// Time without a request after which a program counts as ended; longer than most tool calls and pauses of callers.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// For this long after a counter starts, programs new to it are taken as started before, and admitted.
+/// For this long after a VM becomes the owner of a team, programs new to it are admitted: they may have started before.
 const TAKEOVER_PERIOD: Duration = Duration::from_secs(4);
 /// Minimum and maximum of the time after which a refused caller may retry.
 const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(3));
@@ -40,7 +40,7 @@
     /// Hash of the program class that the route starts; `None` on routes that start no program.
     pub class: Option<u64>,
     /// Longest time the request may wait before it is sent.
-    pub patience: Duration,
+    pub max_wait: Duration,
 }
 
 /// The decision on a request.
@@ -54,20 +54,20 @@
 
 /// Expected demand of one program.
 #[derive(Debug, Clone, Copy)]
-struct Demand {
+struct ProgramDemand {
     requests: f64,
     seconds: f64,
 }
 
 /// Expected demand of programs by class, learned from programs that have ended.
 #[derive(Debug, Default)]
-pub struct Needs {
-    classes: HashMap<u64, Demand>,
+pub struct Demand {
+    classes: HashMap<u64, ProgramDemand>,
 }
 
-impl Needs {
-    fn expected(&self, class: u64) -> Demand {
-        let prior = Demand {
+impl Demand {
+    fn expected(&self, class: u64) -> ProgramDemand {
+        let prior = ProgramDemand {
             requests: PRIOR_REQUESTS,
             seconds: PRIOR_DURATION.as_secs_f64(),
         };
@@ -80,7 +80,7 @@
             .duration_since(program.started_at)
             .as_secs_f64();
         let requests = f64::from(program.requests);
-        let sample = Demand { requests, seconds };
+        let sample = ProgramDemand { requests, seconds };
         let demand = self.classes.entry(program.class).or_insert(sample);
         demand.requests += SAMPLE_WEIGHT * (requests - demand.requests);
         demand.seconds += SAMPLE_WEIGHT * (seconds - demand.seconds);
@@ -99,52 +99,59 @@
     is_complete: bool,
 }
 
-/// Rate limiter of one team, with admission control for its programs.
+/// Rate limiter of one team with admission control for its programs.
 #[derive(Debug)]
 pub struct Quota {
     start: Instant,
-    meter: Meter,
+    limiter: Limiter,
     programs: HashMap<u64, Program>,
     /// How many times the limit the programs in progress may be expected to need.
     overcommit: f64,
 }
 
 impl Quota {
-    /// Creates a counter that may grant from `start` on and knows no earlier grants.
+    /// Creates a quota without known grants, which may grant from `start` on.
     ///
     /// ```
     /// let quota = vanillatrail::policy::quota::Quota::new(tokio::time::Instant::now());
-    /// assert_eq!(quota.granted(), 0);
+    /// assert_eq!(quota.granted_in_window(), 0);
     /// ```
     #[must_use]
     pub fn new(start: Instant) -> Self {
         Self {
             start,
-            meter: Meter::new(start),
+            limiter: Limiter::new(start),
             programs: HashMap::new(),
             overcommit: OVERCOMMIT.0,
         }
     }
 
     /// Sets the limit and the share of it that may be granted from `now` on.
-    pub fn set(&mut self, now: Instant, bound: &Bound, limit: Limit, share: Share) {
-        self.meter.set(now, bound, limit, share);
+    pub fn configure(&mut self, now: Instant, tolerance: &Tolerance, limit: Limit, share: Share) {
+        self.limiter.configure(now, tolerance, limit, share);
     }
 
     /// Grants or refuses one request, and admits its program if it is new.
-    pub fn ask(&mut self, now: Instant, needs: &mut Needs, request: Request) -> Verdict {
+    pub fn decide(
+        &mut self,
+        now: Instant,
+        demand_by_class: &mut Demand,
+        request: Request,
+    ) -> Verdict {
         if let Some(program) = request.program
             && !self.programs.contains_key(&program)
             && let Some(class) = request.class
         {
-            self.remove_idle(now, needs);
+            self.remove_idle(now, demand_by_class);
             let after_takeover = now.saturating_duration_since(self.start) < TAKEOVER_PERIOD;
-            if !after_takeover && let Some(retry_after) = self.retry_after_if_full(needs, class) {
+            if !after_takeover
+                && let Some(retry_after) = self.retry_after_if_full(demand_by_class, class)
+            {
                 return refused(retry_after);
             }
             self.add_program(now, program, class, !after_takeover);
         }
-        match self.meter.take(now, request.patience) {
+        match self.limiter.try_acquire(now, request.max_wait) {
             Ok(wait) => {
                 self.record_grant(now, request.program);
                 Verdict::Granted(wait)
@@ -197,30 +204,31 @@
     }
 
     /// If the limit does not carry a new program of this class, returns the time after which it may.
-    fn retry_after_if_full(&self, needs: &Needs, class: u64) -> Option<Duration> {
+    fn retry_after_if_full(&self, demand_by_class: &Demand, class: u64) -> Option<Duration> {
         if self.programs.is_empty() {
             // A program that needs more than the limit carries must still be able to run alone.
             return None;
         }
-        let demand = needs.expected(class);
+        let demand = demand_by_class.expected(class);
         let remaining = self.programs.values().map(|program| {
-            let expected = needs.expected(program.class).requests;
+            let expected = demand_by_class.expected(program.class).requests;
             (expected - f64::from(program.requests)).max(1.0)
         });
         let remaining: f64 = remaining.sum();
         let duration = Duration::from_secs_f64(demand.seconds).max(PRIOR_DURATION);
-        let missing = (remaining + demand.requests) / self.overcommit - self.meter.within(duration);
-        let rate = self.meter.per_second().max(0.1);
+        let missing = (remaining + demand.requests) / self.overcommit
+            - self.limiter.available_within(duration);
+        let rate = self.limiter.per_second().max(0.1);
         (missing > 0.0).then(|| Duration::from_secs_f64(missing / rate))
     }
 
     /// Removes programs that have ended, and learns from them.
-    fn remove_idle(&mut self, now: Instant, needs: &mut Needs) {
+    fn remove_idle(&mut self, now: Instant, demand_by_class: &mut Demand) {
         let mut completed = 0.0;
         self.programs.retain(|_, program| {
             let ended = program.last_request_at + IDLE_TIMEOUT <= now;
             if ended && program.is_complete {
-                needs.learn(program);
+                demand_by_class.learn(program);
                 completed += 1.0;
             }
             !ended
@@ -228,15 +236,15 @@
         self.overcommit = (self.overcommit + OVERCOMMIT_INCREASE * completed).min(OVERCOMMIT.2);
     }
 
-    /// Number of requests granted in the current window.
+    /// Number of requests granted in the current time window.
     #[must_use]
-    pub const fn granted(&self) -> u32 {
-        self.meter.granted()
+    pub const fn granted_in_window(&self) -> u32 {
+        self.limiter.granted_in_window()
     }
 
     /// Number of programs in progress.
     #[must_use]
-    pub fn programs(&self) -> usize {
+    pub fn active_programs(&self) -> usize {
         self.programs.len()
     }
 }
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -39,7 +39,7 @@
 
 /// Ranks VMs for a task: large VMs first, then by rendezvous hash of `key` and the VM's name.
 #[must_use]
-pub fn ranked<'a>(key: &str, peers: &'a [Peer]) -> Vec<&'a Peer> {
+pub fn rank_peers<'a>(key: &str, peers: &'a [Peer]) -> Vec<&'a Peer> {
     let largest = peers.iter().map(|peer| peer.cores.0).max().unwrap_or(0);
     let mut ranked: Vec<_> = peers
         .iter()
@@ -54,19 +54,19 @@
 
 /// Where a VM gets directory changes from.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Order {
+pub struct Sources {
     /// Addresses of the VMs to ask, in this order.
-    pub before: Vec<SocketAddr>,
+    pub upstreams: Vec<SocketAddr>,
     /// Whether the VM reads the store if none of them has a fresh directory. Only the first VMs of the ranking and of
     /// each zone do, which limits the load on the store.
-    pub reads: bool,
+    pub may_read_store: bool,
 }
 
 /// Returns the VMs that `me` asks for changes, and whether it may read the store.
 ///
 /// ```
 /// use vanillatrail::id::Millicores;
-/// use vanillatrail::policy::relay::{Peer, order};
+/// use vanillatrail::policy::relay::{Peer, sources};
 /// let peers: Vec<Peer> = (1..=9)
 ///     .map(|number| Peer {
 ///         vm: format!("vm-{number}").parse().unwrap(),
@@ -75,38 +75,38 @@
 ///         cores: Millicores(500),
 ///     })
 ///     .collect();
-/// let readers = peers.iter().filter(|peer| order(&peer.vm, &peers).before.is_empty());
+/// let readers = peers.iter().filter(|peer| sources(&peer.vm, &peers).upstreams.is_empty());
 /// assert_eq!(readers.count(), 1);
 /// ```
 #[must_use]
-pub fn order(me: &Vm, peers: &[Peer]) -> Order {
-    let ranked = ranked(RANK_KEY, peers);
+pub fn sources(me: &Vm, peers: &[Peer]) -> Sources {
+    let ranked = rank_peers(RANK_KEY, peers);
     let Some(own_rank) = ranked.iter().position(|peer| peer.vm == *me) else {
-        return Order::default();
+        return Sources::default();
     };
-    let before = &ranked[..own_rank];
-    let same_zone = before
+    let upstreams = &ranked[..own_rank];
+    let same_zone = upstreams
         .iter()
         .filter(|peer| peer.zone == ranked[own_rank].zone);
     let same_zone: Vec<SocketAddr> = same_zone
         .take(MAX_SAME_ZONE)
         .map(|peer| peer.address)
         .collect();
-    let mut order = Order {
-        reads: own_rank < MAX_ANY_ZONE || same_zone.len() < MAX_SAME_ZONE,
-        before: same_zone,
+    let mut sources = Sources {
+        may_read_store: own_rank < MAX_ANY_ZONE || same_zone.len() < MAX_SAME_ZONE,
+        upstreams: same_zone,
     };
-    for peer in before.iter().take(MAX_ANY_ZONE) {
-        if !order.before.contains(&peer.address) {
-            order.before.push(peer.address);
+    for peer in upstreams.iter().take(MAX_ANY_ZONE) {
+        if !sources.upstreams.contains(&peer.address) {
+            sources.upstreams.push(peer.address);
         }
     }
-    order
+    sources
 }
 
 /// State of the directory on a VM that was asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct Status {
     /// Age of its directory; `None` if it has none yet.
     pub age: Option<Duration>,
     /// Whether it can reach the store.
@@ -143,13 +143,13 @@
 
 /// State of the VM that asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Asker {
+pub struct Requester {
     /// Time between two reads of the directory.
     pub period: Duration,
     /// How long it has been without a directory; `None` if it has one.
-    pub waits: Option<Duration>,
+    pub without_directory_for: Option<Duration>,
     /// Whether it may and can read the store itself.
-    pub reads: bool,
+    pub may_read_store: bool,
 }
 
 /// Decides what to do with the answer of another VM.
@@ -159,24 +159,28 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use vanillatrail::policy::relay::{Asker, Standing, Step, step};
+/// use vanillatrail::policy::relay::{Requester, Status, Step, next_step};
 /// let second = Duration::from_secs(1);
-/// let asker = Asker { period: second, waits: None, reads: true };
-/// let fresh = Standing { age: Some(second), has_store: true };
-/// assert_eq!(step(fresh, asker), Step::Use);
-/// let cut_off = Standing { has_store: false, ..fresh };
-/// assert_eq!(step(cut_off, asker), Step::Next);
-/// assert_eq!(step(cut_off, Asker { reads: false, ..asker }), Step::Use);
-/// let starting = Standing { age: None, has_store: true };
-/// assert_eq!(step(starting, Asker { waits: Some(second), ..asker }), Step::Wait);
-/// assert_eq!(step(starting, asker), Step::Next);
+/// let requester = Requester { period: second, without_directory_for: None, may_read_store: true };
+/// let fresh = Status { age: Some(second), has_store: true };
+/// assert_eq!(next_step(fresh, requester), Step::Use);
+/// let cut_off = Status { has_store: false, ..fresh };
+/// assert_eq!(next_step(cut_off, requester), Step::Next);
+/// assert_eq!(next_step(cut_off, Requester { may_read_store: false, ..requester }), Step::Use);
+/// let starting = Status { age: None, has_store: true };
+/// assert_eq!(next_step(starting, Requester { without_directory_for: Some(second), ..requester }), Step::Wait);
+/// assert_eq!(next_step(starting, requester), Step::Next);
 /// ```
 #[must_use]
-pub fn step(standing: Standing, asker: Asker) -> Step {
-    let is_reliable = standing.has_store || !asker.reads;
-    match standing.age {
-        Some(age) if is_reliable && is_fresh(age, asker.period) => Step::Use,
-        None if standing.has_store && asker.waits.is_some_and(|waits| waits < MAX_STARTUP_WAIT) => {
+pub fn next_step(status: Status, requester: Requester) -> Step {
+    let is_reliable = status.has_store || !requester.may_read_store;
+    match status.age {
+        Some(age) if is_reliable && is_fresh(age, requester.period) => Step::Use,
+        None if status.has_store
+            && requester
+                .without_directory_for
+                .is_some_and(|elapsed| elapsed < MAX_STARTUP_WAIT) =>
+        {
             Step::Wait
         }
         _ => Step::Next,
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -2,7 +2,7 @@
 
 use super::ask::Outcome;
 use super::cache::Cache;
-use super::latency::{Pace, Ratio};
+use super::latency::{Model, Slowdown};
 use crate::id::{Permit, Program, Server as Name};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     pub(super) cache: Cache,
     pub(super) leaving: bool,
     pub(super) rests_until: Option<Instant>,
-    pub(super) ratio: Ratio,
+    pub(super) ratio: Slowdown,
     flights: HashMap<Permit, Flight>,
     ceiling: f64,
     failures: u32,
@@ -51,7 +51,7 @@
             cache: Cache::default(),
             leaving: false,
             rests_until: None,
-            ratio: Ratio::default(),
+            ratio: Slowdown::default(),
             flights: HashMap::new(),
             ceiling: START,
             failures: 0,
@@ -63,16 +63,16 @@
     }
 
     /// Calls that it may run at a time.
-    pub(super) fn size(&self, pace: &Pace) -> f64 {
-        let by_time = pace.calls_at(STRETCH / self.ratio.get().max(1.0));
+    pub(super) fn size(&self, pace: &Model) -> f64 {
+        let by_time = pace.calls_at_slowdown(STRETCH / self.ratio.get().max(1.0));
         by_time.min(self.ceiling).max(LEAST)
     }
 
     /// Whether another call may be given; `fills` when it has so much slack that it only fills.
-    pub(super) fn has_room(&self, pace: &Pace, fills: bool) -> bool {
+    pub(super) fn has_room(&self, pace: &Model, fills: bool) -> bool {
         let mut size = self.size(pace);
         if fills {
-            size = size.min(pace.calls_at(FILL / self.ratio.get().max(1.0)));
+            size = size.min(pace.calls_at_slowdown(FILL / self.ratio.get().max(1.0)));
         }
         (self.running() as f64) < size.max(1.0)
     }
@@ -90,7 +90,7 @@
         now: Instant,
         permit: Permit,
         outcome: Option<&Outcome>,
-        pace: &mut Pace,
+        pace: &mut Model,
     ) -> Option<Program> {
         let flight = self.flights.remove(&permit)?;
         match outcome {
@@ -111,14 +111,14 @@
         self.cache.forget(program);
     }
 
-    fn learn(&mut self, flight: &Flight, end: &Outcome, pace: &mut Pace) {
+    fn learn(&mut self, flight: &Flight, end: &Outcome, pace: &mut Model) {
         self.failures = 0;
         let running = f64::midpoint(flight.running as f64, self.flights.len() as f64) + 1.0;
         let fresh = end.prompt.0.saturating_sub(end.cached.0) as f64;
         if end.completion.0 > 8 && end.rest_ms > 0.0 {
             let time = end.rest_ms / end.completion.0 as f64;
-            self.ratio.take(time, pace.token_ms(running));
-            pace.token(running, time, self.ratio.get());
+            self.ratio.record(time, pace.token_ms(running));
+            pace.record_token_time(running, time, self.ratio.get());
         }
         if end.prompt.0 == 0 {
             // A plain service: how long it takes says nothing of calls that it queues.
@@ -131,16 +131,16 @@
             self.ceiling += 4.0 / self.ceiling;
         }
         if fresh > 400.0 {
-            pace.prefill(end.first_ms / fresh);
+            pace.record_prefill_time(end.first_ms / fresh);
         }
         let tokens = end.prompt.0 + end.completion.0;
         self.cache.hold(flight.program, tokens);
     }
 
     /// Expected time of a call here, in milliseconds.
-    pub(super) fn call_ms(&self, pace: &Pace, program: Program, prompt: u64, max: u64) -> f64 {
+    pub(super) fn call_ms(&self, pace: &Model, program: Program, prompt: u64, max: u64) -> f64 {
         let fresh = prompt.saturating_sub(self.cache.tokens(program)) as f64;
-        let tokens = pace.expected(max as f64);
+        let tokens = pace.expected_tokens(max as f64);
         let running = self.running() as f64 + 1.0;
         (fresh * pace.prefill_ms() + tokens * pace.token_ms(running)) * self.ratio.get()
     }
--- a/tests/allowance.rs
+++ b/tests/allowance.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
-use vanillatrail::policy::allowance::{Entry, Ledger, Reservation, Turn, Verdict};
+use vanillatrail::policy::allowance::{Ledger, Request, Reservation, Snapshot, Verdict};
 
 const BUDGET: u64 = 870;
 const MOST: u64 = 290;
@@ -13,8 +13,8 @@
     Reservation { vm: 1, number }
 }
 
-fn turn(seen: u64) -> Turn {
-    Turn {
+fn turn(seen: u64) -> Request {
+    Request {
         budget: BUDGET,
         most: MOST,
         seen,
@@ -32,11 +32,11 @@
         ledger.reserve(now, "p", reservation(1), turn(0)),
         Verdict::Record(580)
     );
-    ledger.recorded("p", 580);
+    ledger.mark_recorded("p", 580);
     ledger.settle(now, reservation(1), 70);
     let mut next = Ledger::default();
     next.restore(now, "p", 580);
-    assert_eq!(next.standing("p"), (0, 580));
+    assert_eq!(next.usage("p"), (0, 580));
     assert_eq!(
         next.reserve(now, "p", reservation(2), turn(0)),
         Verdict::Record(1160)
@@ -73,10 +73,10 @@
     let mut ledger = Ledger::default();
     ledger.reserve(now, "p", reservation(1), turn(0));
     ledger.reserve(now, "p", reservation(1), turn(0));
-    assert_eq!(ledger.standing("p"), (1, MOST));
+    assert_eq!(ledger.usage("p"), (1, MOST));
     ledger.settle(now, reservation(1), 10);
     ledger.settle(now, reservation(1), 10);
-    assert_eq!(ledger.standing("p"), (1, 10));
+    assert_eq!(ledger.usage("p"), (1, 10));
 }
 
 /// A VM knows from its own answers that a turn under way was counted at its most. When it asks
@@ -86,10 +86,10 @@
     let now = Instant::now();
     let mut ledger = Ledger::default();
     ledger.reserve(now, "p", reservation(1), turn(0));
-    ledger.recorded("p", 580);
+    ledger.mark_recorded("p", 580);
     ledger.settle(now, reservation(1), 70);
     ledger.reserve(now, "p", reservation(2), turn(290));
-    assert_eq!(ledger.standing("p"), (2, 70 + MOST));
+    assert_eq!(ledger.usage("p"), (2, 70 + MOST));
 }
 
 /// A planned stop hands the accounts over whole: the next VM knows what was really used, and the
@@ -99,14 +99,14 @@
     let now = Instant::now();
     let mut ledger = Ledger::default();
     ledger.reserve(now, "p", reservation(1), turn(0));
-    ledger.recorded("p", 580);
+    ledger.mark_recorded("p", 580);
     let mut next = Ledger::default();
     next.restore(now, "p", 580);
     for entry in ledger.export() {
-        next.adopt(now, entry);
+        next.import(now, entry);
     }
     next.settle(now, reservation(1), 70);
-    assert_eq!(next.standing("p"), (1, 70));
+    assert_eq!(next.usage("p"), (1, 70));
 }
 
 /// A VM was shut out without knowing, and a third one has recorded more meanwhile. Its hand-over
@@ -116,9 +116,9 @@
     let now = Instant::now();
     let mut next = Ledger::default();
     next.restore(now, "p", 1160);
-    next.adopt(
+    next.import(
         now,
-        Entry {
+        Snapshot {
             program: "p".to_owned(),
             allowed: 580,
             spent: 70,
@@ -126,7 +126,7 @@
             open: Vec::new(),
         },
     );
-    assert_eq!(next.standing("p").1, 70 + 580);
+    assert_eq!(next.usage("p").1, 70 + 580);
 }
 
 /// A program that has not been seen for longer than it may pause is forgotten.
@@ -149,13 +149,13 @@
     let now = Instant::now();
     let mut ledger = Ledger::default();
     ledger.reserve(now, "p", reservation(1), turn(0));
-    assert!(ledger.bears("p", turn(0)));
+    assert!(ledger.allows_unrecorded("p", turn(0)));
     ledger.reserve(now, "p", reservation(2), turn(0));
-    assert!(!ledger.bears("p", turn(0)));
+    assert!(!ledger.allows_unrecorded("p", turn(0)));
     let mut next = Ledger::default();
-    next.doubt();
+    next.mark_incomplete();
     next.reserve(now, "p", reservation(3), turn(0));
-    assert_eq!(next.standing("p"), (1, BUDGET / 2 + MOST));
+    assert_eq!(next.usage("p"), (1, BUDGET / 2 + MOST));
 }
 
 #[derive(Debug, Clone)]
@@ -205,14 +205,14 @@
                         Verdict::Spent => continue,
                         Verdict::Covered => {}
                         Verdict::Record(_) if away => {
-                            if !ledger.bears("p", turn(0)) {
+                            if !ledger.allows_unrecorded("p", turn(0)) {
                                 ledger.settle(now, reservation, 0);
                                 continue;
                             }
                         }
                         Verdict::Record(allowed) => {
                             durable.insert("p", allowed);
-                            ledger.recorded("p", allowed);
+                            ledger.mark_recorded("p", allowed);
                         }
                     }
                     handed += used;
@@ -224,17 +224,17 @@
                 Step::Back => {
                     away = false;
                     // What was given meanwhile is recorded first.
-                    let (_, total) = ledger.standing("p");
+                    let (_, total) = ledger.usage("p");
                     if total > ledger.allowed("p") {
                         durable.insert("p", total);
-                        ledger.recorded("p", total);
+                        ledger.mark_recorded("p", total);
                     }
                 }
                 Step::Loss => {
                     let lost = std::mem::take(&mut ledger);
                     ledger.restore(now, "p", durable.get("p").copied().unwrap_or(0));
-                    if away || lost.is_doubtful() {
-                        ledger.doubt();
+                    if away || lost.is_incomplete() {
+                        ledger.mark_incomplete();
                     }
                     away = false;
                 }
@@ -246,22 +246,22 @@
                     ledger.settle(now, reservation, 0);
                 }
                 Step::Crash => {
-                    let doubtful = ledger.is_doubtful();
+                    let doubtful = ledger.is_incomplete();
                     ledger = Ledger::default();
                     ledger.restore(now, "p", durable.get("p").copied().unwrap_or(0));
                     if doubtful {
-                        ledger.doubt();
+                        ledger.mark_incomplete();
                     }
                 }
                 Step::HandOver => {
-                    let (entries, doubtful) = (ledger.export(), ledger.is_doubtful());
+                    let (entries, doubtful) = (ledger.export(), ledger.is_incomplete());
                     ledger = Ledger::default();
                     if doubtful {
-                        ledger.doubt();
+                        ledger.mark_incomplete();
                     }
                     ledger.restore(now, "p", durable.get("p").copied().unwrap_or(0));
                     for entry in entries {
-                        ledger.adopt(now, entry);
+                        ledger.import(now, entry);
                     }
                 }
             }
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -4,7 +4,7 @@
 use rand::rngs::StdRng;
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use vanillatrail::policy::copies::{Holder, order};
+use vanillatrail::policy::copies::{Source, order_sources};
 
 const VMS: u16 = 300;
 const ZONES: u16 = 5;
@@ -19,15 +19,15 @@
     let mut asked: HashMap<SocketAddr, u32> = HashMap::new();
     for vm in 0..VMS {
         let others = (0..VMS).filter(|other| *other != vm);
-        let holders = others.map(|other| Holder {
+        let holders = others.map(|other| Source {
             address: ([127, 0, 0, 1], other + 1).into(),
-            near: other % ZONES == vm % ZONES,
-            newest: true,
+            same_zone: other % ZONES == vm % ZONES,
+            has_newest: true,
         });
-        let mut holders: Vec<Holder> = holders.collect();
-        order(&mut holders, &mut rng);
+        let mut holders: Vec<Source> = holders.collect();
+        order_sources(&mut holders, &mut rng);
         for holder in holders.iter().take(ASKED) {
-            assert!(holder.near);
+            assert!(holder.same_zone);
             *asked.entry(holder.address).or_default() += 1;
         }
     }
@@ -40,13 +40,13 @@
 #[test]
 fn the_newest_copies_come_before_the_near_ones() {
     let mut rng = StdRng::seed_from_u64(2);
-    let holders = (1..=VMS).map(|vm| Holder {
+    let holders = (1..=VMS).map(|vm| Source {
         address: ([127, 0, 0, 1], vm).into(),
-        near: vm % ZONES == 0,
-        newest: vm == 7,
+        same_zone: vm % ZONES == 0,
+        has_newest: vm == 7,
     });
-    let mut holders: Vec<Holder> = holders.collect();
-    order(&mut holders, &mut rng);
-    assert!(holders[0].newest);
-    assert!(holders[1..=ASKED].iter().all(|holder| holder.near));
+    let mut holders: Vec<Source> = holders.collect();
+    order_sources(&mut holders, &mut rng);
+    assert!(holders[0].has_newest);
+    assert!(holders[1..=ASKED].iter().all(|holder| holder.same_zone));
 }
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -5,14 +5,14 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
-use vanillatrail::policy::limit::{AHEAD, Bound, Limit, Meter, Share};
-use vanillatrail::policy::quota::{Needs, Quota, Request, Verdict};
+use vanillatrail::policy::limit::{Limit, Limiter, MAX_GRANT_DELAY, Share, Tolerance};
+use vanillatrail::policy::quota::{Demand, Quota, Request, Verdict};
 
 const WINDOW: Duration = Duration::from_secs(5);
 const STEP: Duration = Duration::from_millis(5);
 
-fn bound() -> Bound {
-    Bound {
+fn bound() -> Tolerance {
+    Tolerance {
         window: WINDOW,
         excess: 0.1,
         slack: 20.0,
@@ -47,9 +47,9 @@
 }
 
 /// A counter that is asked for `wanted` requests at each step.
-fn drain(meter: &mut Meter, now: Instant, wanted: usize, sent: &mut Vec<Instant>) {
+fn drain(meter: &mut Limiter, now: Instant, wanted: usize, sent: &mut Vec<Instant>) {
     for _ in 0..wanted {
-        if let Ok(wait) = meter.take(now, Duration::from_millis(300)) {
+        if let Ok(wait) = meter.try_acquire(now, Duration::from_millis(300)) {
             sent.push(now + wait);
         }
     }
@@ -70,15 +70,15 @@
         let (mut now, mut sent) = (Instant::now(), Vec::new());
         let mut step = 0;
         for life in lives {
-            let (mut meter, end) = (Meter::new(now), now + Duration::from_millis(life));
+            let (mut meter, end) = (Limiter::new(now), now + Duration::from_millis(life));
             while now < end {
-                meter.set(now, &bound(), limit, Share::Whole);
+                meter.configure(now, &bound(), limit, Share::Whole);
                 drain(&mut meter, now, demand[step / 40 % demand.len()], &mut sent);
                 now += STEP;
                 step += 1;
             }
             // The next one begins no sooner after the last grant.
-            now += AHEAD;
+            now += MAX_GRANT_DELAY;
         }
         prop_assert!(busiest(&sent) as f64 <= most(limit));
     }
@@ -93,11 +93,11 @@
         let limit = limit(per_second);
         let (begun, mut sent) = (Instant::now(), Vec::new());
         let shares = [Share::Half, Share::Half, Share::Tolerance(0.3)];
-        let mut meters = shares.map(|share| (Meter::new(begun), share));
+        let mut meters = shares.map(|share| (Limiter::new(begun), share));
         for step in 0..3000_u32 {
             let now = begun + STEP * step;
             for (number, (meter, share)) in meters.iter_mut().enumerate() {
-                meter.set(now, &bound(), limit, *share);
+                meter.configure(now, &bound(), limit, *share);
                 let wanted = demand[(step as usize / 40 + number) % demand.len()];
                 drain(meter, now, wanted, &mut sent);
             }
@@ -110,7 +110,7 @@
 /// limit allows; when it is raised again, more goes at once.
 #[test]
 fn a_lowered_limit_binds_within_a_window() {
-    let (begun, mut meter) = (Instant::now(), Meter::new(Instant::now()));
+    let (begun, mut meter) = (Instant::now(), Limiter::new(Instant::now()));
     let mut sent = Vec::new();
     for step in 0..4000_u32 {
         let now = begun + STEP * step;
@@ -119,7 +119,7 @@
         } else {
             400.0
         });
-        meter.set(now, &bound(), limit, Share::Whole);
+        meter.configure(now, &bound(), limit, Share::Whole);
         drain(&mut meter, now, 9, &mut sent);
     }
     let at = |step: u32| begun + STEP * step;
@@ -158,12 +158,12 @@
     let carried = (12.0 * 5.0 + 12.0) / 5.0 / f64::from(REQUESTS);
     let gap = Duration::from_secs_f64(1.0 / (carried * 7.5));
     let begun = Instant::now();
-    let (mut quota, mut needs) = (Quota::new(begun), Needs::default());
+    let (mut quota, mut needs) = (Quota::new(begun), Demand::default());
     let mut programs: VecDeque<Program> = VecDeque::new();
     let (mut number, mut ended, mut due) = (0, 0, begun);
     for step in 0..6000_u32 {
         let now = begun + STEP * step;
-        quota.set(now, &bound(), limit, Share::Whole);
+        quota.configure(now, &bound(), limit, Share::Whole);
         if due <= now {
             due += gap;
             number += 1;
@@ -181,9 +181,9 @@
             let request = Request {
                 program: by_program.then_some(program.number),
                 class: by_program.then_some(1),
-                patience: Duration::from_millis(700),
+                max_wait: Duration::from_millis(700),
             };
-            match quota.ask(now, &mut needs, request) {
+            match quota.decide(now, &mut needs, request) {
                 Verdict::Granted(wait) => {
                     program.sent += 1;
                     program.retried = false;
--- a/tests/limit_usual.rs
+++ b/tests/limit_usual.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
-use vanillatrail::policy::limit::{Bound, Limit, Share};
-use vanillatrail::policy::quota::{Needs, Quota, Request, Verdict};
+use vanillatrail::policy::limit::{Limit, Share, Tolerance};
+use vanillatrail::policy::quota::{Demand, Quota, Request, Verdict};
 
 const TEAMS: u32 = 40;
 const LENGTH: Duration = Duration::from_secs(40);
@@ -19,8 +19,8 @@
 /// Time that a request takes at its server.
 const TOOK: Duration = Duration::from_millis(60);
 
-fn bound() -> Bound {
-    Bound {
+fn bound() -> Tolerance {
+    Tolerance {
         window: Duration::from_secs(5),
         excess: 0.1,
         slack: 20.0,
@@ -87,7 +87,7 @@
         burst: per_second,
     };
     let begun = Instant::now();
-    let (mut quota, mut needs) = (Quota::new(begun), Needs::default());
+    let (mut quota, mut needs) = (Quota::new(begun), Demand::default());
     let mut due: BTreeMap<(Instant, u64), Program> = BTreeMap::new();
     let sizes: f64 = (0..500)
         .map(|_| f64::from(Program::draw(&mut rng).requests()))
@@ -101,15 +101,15 @@
     }
     tally.begun += u32::try_from(number).expect("few");
     while let Some(((now, number), mut program)) = due.pop_first() {
-        quota.set(now, &bound(), limit, Share::Whole);
+        quota.configure(now, &bound(), limit, Share::Whole);
         let (mut wait, mut back) = (Duration::ZERO, None);
         while program.open > 0 {
             let request = Request {
                 program: Some(number),
                 class: Some(program.class),
-                patience: Duration::from_millis(700),
+                max_wait: Duration::from_millis(700),
             };
-            match quota.ask(now, &mut needs, request) {
+            match quota.decide(now, &mut needs, request) {
                 Verdict::Granted(granted) => {
                     program.open -= 1;
                     wait = wait.max(granted);
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -10,8 +10,8 @@
 use vanillatrail::gateway::changes::Changes;
 use vanillatrail::gateway::directory::{Change, Directory, Entry, identity};
 use vanillatrail::id::{Millicores, Offset};
-use vanillatrail::policy::cells::{cell, readers};
-use vanillatrail::policy::relay::{Peer, order};
+use vanillatrail::policy::cells::{cell, ranked_readers};
+use vanillatrail::policy::relay::{Peer, sources};
 
 const ZONES: u16 = 5;
 
@@ -37,8 +37,8 @@
         let mut asked: HashMap<SocketAddr, u32> = HashMap::new();
         let mut readers = 0;
         for peer in &fleet {
-            let order = order(&peer.vm, &fleet);
-            match order.before.first() {
+            let sources = sources(&peer.vm, &fleet);
+            match sources.upstreams.first() {
                 None => readers += 1,
                 Some(first) => *asked.entry(*first).or_default() += 1,
             }
@@ -55,7 +55,7 @@
 fn the_loss_of_those_that_come_first_leaves_few_readers() {
     let mut fleet = fleet(1000);
     let rank = |fleet: &[Peer]| -> Vec<SocketAddr> {
-        let by_before = |peer: &Peer| order(&peer.vm, fleet).before.len();
+        let by_before = |peer: &Peer| sources(&peer.vm, fleet).upstreams.len();
         let mut fleet: Vec<&Peer> = fleet.iter().collect();
         fleet.sort_by_key(|peer| by_before(peer));
         fleet.iter().take(5).map(|peer| peer.address).collect()
@@ -63,16 +63,19 @@
     let first = rank(&fleet);
     // They answer nobody, and are members still.
     let helped = |peer: &Peer| {
-        let order = order(&peer.vm, &fleet);
-        let helps = order.before.iter().any(|source| !first.contains(source));
-        helps || !order.reads
+        let sources = sources(&peer.vm, &fleet);
+        let helps = sources
+            .upstreams
+            .iter()
+            .any(|source| !first.contains(source));
+        helps || !sources.may_read_store
     };
     let alone = fleet.iter().filter(|peer| !first.contains(&peer.address));
     assert!(alone.filter(|peer| !helped(peer)).count() <= 10);
     fleet.retain(|peer| !first.contains(&peer.address));
     let readers = fleet
         .iter()
-        .filter(|peer| order(&peer.vm, &fleet).before.is_empty());
+        .filter(|peer| sources(&peer.vm, &fleet).upstreams.is_empty());
     assert_eq!(readers.count(), 1);
 }
 
@@ -94,7 +97,7 @@
             "{largest} of {vms} in a cell"
         );
         for cell in cells.values() {
-            assert_eq!(readers(cell)[0].cores, Millicores(500));
+            assert_eq!(ranked_readers(cell)[0].cores, Millicores(500));
         }
     }
 }
