--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -63,7 +63,7 @@
 }
 
 impl Model {
-    fn add(&mut self, calls: f64, time_ms: f64, weight: f64) {
+    fn add_sample(&mut self, calls: f64, time_ms: f64, weight: f64) {
         self.weight += weight;
         self.calls_sum += weight * calls;
         self.time_sum += weight * time_ms;
@@ -91,7 +91,7 @@
         ] {
             *sum *= decay;
         }
-        self.add(calls, time_ms, 1.0);
+        self.add_sample(calls, time_ms, 1.0);
     }
 
     /// Adds the time per uncached prompt token of a call.
@@ -117,12 +117,12 @@
     /// Scaling the assumed line avoids a wrong slope where engines differ much from it: few calls on a fast engine
     /// together with the assumed time of many calls would look like a steep line, the concurrency window would shrink,
     /// and no measurement at high concurrency could correct it.
-    fn line(&self) -> (f64, f64) {
+    fn fit_line(&self) -> (f64, f64) {
         let scale = self.prior_mismatch().unwrap_or(1.0);
         let mut fit = self.clone();
         for calls in [0.0, PRIOR_MAX_CALLS] {
             let time_ms = scale * (PRIOR_TOKEN_MS + PRIOR_SLOPE_MS * calls);
-            fit.add(calls, time_ms, self.prior_weight / 2.0);
+            fit.add_sample(calls, time_ms, self.prior_weight / 2.0);
         }
         let mean = fit.time_sum / fit.weight;
         let variance = fit.weight * fit.calls_squared_sum - fit.calls_sum * fit.calls_sum;
@@ -139,7 +139,7 @@
     /// Time per token with `calls` in flight, in milliseconds.
     #[must_use]
     pub fn token_ms(&self, calls: f64) -> f64 {
-        let (intercept, slope) = self.line();
+        let (intercept, slope) = self.fit_line();
         intercept + slope * calls
     }
 
@@ -158,7 +158,7 @@
     /// Number of calls in flight at which a token takes `slowdown` times as long as without load.
     #[must_use]
     pub fn calls_at_slowdown(&self, slowdown: f64) -> f64 {
-        let (intercept, slope) = self.line();
+        let (intercept, slope) = self.fit_line();
         (slowdown - 1.0) * intercept / slope
     }
 }
--- a/src/policy/limit.rs
+++ b/src/policy/limit.rs
@@ -244,10 +244,10 @@
         }
     }
 
-    /// Number of requests that may be granted within `time` from the last refill on.
+    /// Number of requests that may be granted within `duration` from the last refill on.
     #[must_use]
-    pub fn available_within(&self, time: Duration) -> f64 {
-        let tokens = self.tokens + self.local_limit.per_second * time.as_secs_f64();
+    pub fn available_within(&self, duration: Duration) -> f64 {
+        let tokens = self.tokens + self.local_limit.per_second * duration.as_secs_f64();
         tokens.min(self.local_limit.max_in_window)
     }
 
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,7 +1,7 @@
 //! Admission control for the programs of a team.
 //!
-//! A team may start several times as many programs as its limit carries. If arbitrary requests were refused, most
-//! programs would lose one of theirs and the limit would be spent on programs that never finish. So a new program is
+//! A team may start several times as many programs as its limit allows. If arbitrary requests were refused, most
+//! programs would have one refused, and the limit would be spent on programs that never finish. So a new program is
 //! refused at its first request if the programs in progress are expected to use up the limit. Requests of admitted
 //! programs wait for the limit, and are refused only if the wait is too long.
 
@@ -29,7 +29,7 @@
 const TAKEOVER_PERIOD: Duration = Duration::from_secs(4);
 /// Minimum and maximum of the time after which a refused caller may retry.
 const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(3));
-/// Most programs of one team that are tracked.
+/// Maximum number of tracked programs of one team.
 const MAX_PROGRAMS: usize = 20_000;
 
 /// A request of a team.
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Removes a program whose first request was refused. One that loses a later request may end early, so it is not
-    /// learned from.
+    /// Removes a program whose first request was refused. A program with a later request refused may end early, so it
+    /// is not learned from.
     fn record_refusal(&mut self, program: Option<u64>) {
         let Some(key) = program else {
             return;
@@ -203,10 +203,10 @@
         self.programs.insert(program, started);
     }
 
-    /// If the limit does not carry a new program of this class, returns the time after which it may.
+    /// If the limit has no room for a new program of this class, returns the time after which to retry.
     fn retry_after_if_full(&self, demand_by_class: &Demand, class: u64) -> Option<Duration> {
         if self.programs.is_empty() {
-            // A program that needs more than the limit carries must still be able to run alone.
+            // A program that needs more than the limit allows must still be able to run alone.
             return None;
         }
         let demand = demand_by_class.expected(class);
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -1,4 +1,4 @@
-//! Chooses the VMs from which a VM gets changes to the directory, and when it reads the store itself.
+//! Chooses a VM's upstreams, the VMs from which it gets changes to the directory, and when it reads the store itself.
 //!
 //! If every VM read all renewals of registrations, the load on the store would grow with VMs times servers. Instead one
 //! VM reads the store, one VM of each availability zone asks that VM, and the others ask the one of their zone.
