--- a/src/policy/pool.rs
+++ b/src/policy/pool.rs
@@ -1,6 +1,6 @@
 //! The call queue of a pool, and the choice of a server for each call.
 
-use super::pace::{Pace, Rates};
+use super::latency::{Model, Rates};
 use super::queue::{Band, Queue};
 use super::request::{Action, Outcome, Request};
 use super::server::Server;
@@ -60,7 +60,7 @@
     /// Servers that may have cached each program.
     servers_of_program: HashMap<Program, Vec<usize>>,
     queue: Queue<QueuedCall>,
-    pace: Pace,
+    pace: Model,
     epoch: Option<Instant>,
     export_enabled: bool,
 }
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -1,7 +1,7 @@
 //! The concurrency window, speed and cached programs of one server of a pool.
 
 use super::cache::CacheEstimate;
-use super::pace::{Pace, Ratio};
+use super::latency::{Model, Slowdown};
 use super::request::Outcome;
 use crate::id::{Permit, Program, Server as ServerName};
 use std::collections::HashMap;
@@ -36,7 +36,7 @@
     pub(super) cache: CacheEstimate,
     pub(super) draining: bool,
     pub(super) ejected_until: Option<Instant>,
-    pub(super) slowdown: Ratio,
+    pub(super) slowdown: Slowdown,
     in_flight: HashMap<Permit, InFlight>,
     /// Lowered when the server queues calls internally, otherwise raised by each completed call.
     max_window: f64,
@@ -50,7 +50,7 @@
             cache: CacheEstimate::default(),
             draining: false,
             ejected_until: None,
-            slowdown: Ratio::default(),
+            slowdown: Slowdown::default(),
             in_flight: HashMap::new(),
             max_window: INITIAL_MAX_WINDOW,
             consecutive_failures: 0,
@@ -62,17 +62,18 @@
     }
 
     /// Calls that it may run concurrently.
-    pub(super) fn window(&self, pace: &Pace) -> f64 {
-        let slowdown_limit = pace.calls_at(MAX_TOKEN_SLOWDOWN / self.slowdown.get().max(1.0));
+    pub(super) fn window(&self, pace: &Model) -> f64 {
+        let slowdown_limit =
+            pace.calls_at_slowdown(MAX_TOKEN_SLOWDOWN / self.slowdown.get().max(1.0));
         slowdown_limit.min(self.max_window).max(MIN_WINDOW)
     }
 
     /// Whether it can take another call; `backfill` for a call of the backfill band.
-    pub(super) fn has_room(&self, pace: &Pace, backfill: bool) -> bool {
+    pub(super) fn has_room(&self, pace: &Model, backfill: bool) -> bool {
         let mut window = self.window(pace);
         if backfill {
-            window =
-                window.min(pace.calls_at(MAX_BACKFILL_SLOWDOWN / self.slowdown.get().max(1.0)));
+            window = window
+                .min(pace.calls_at_slowdown(MAX_BACKFILL_SLOWDOWN / self.slowdown.get().max(1.0)));
         }
         (self.running() as f64) < window.max(1.0)
     }
@@ -96,7 +97,7 @@
         now: Instant,
         permit: Permit,
         outcome: Option<&Outcome>,
-        pace: &mut Pace,
+        pace: &mut Model,
     ) -> Option<Program> {
         let call = self.in_flight.remove(&permit)?;
         match outcome {
@@ -117,15 +118,15 @@
         self.cache.remove(program);
     }
 
-    fn record_success(&mut self, call: &InFlight, outcome: &Outcome, pace: &mut Pace) {
+    fn record_success(&mut self, call: &InFlight, outcome: &Outcome, pace: &mut Model) {
         self.consecutive_failures = 0;
         let mean_running =
             f64::midpoint(call.running_at_start as f64, self.in_flight.len() as f64) + 1.0;
         let uncached_tokens = outcome.prompt.0.saturating_sub(outcome.cached.0) as f64;
         if outcome.completion.0 > 8 && outcome.rest_ms > 0.0 {
             let token_ms = outcome.rest_ms / outcome.completion.0 as f64;
-            self.slowdown.take(token_ms, pace.token_ms(mean_running));
-            pace.token(mean_running, token_ms, self.slowdown.get());
+            self.slowdown.record(token_ms, pace.token_ms(mean_running));
+            pace.record_token_time(mean_running, token_ms, self.slowdown.get());
         }
         if outcome.prompt.0 == 0 {
             // Plain services report no tokens; their latency does not show whether they queue
@@ -141,7 +142,7 @@
             self.max_window += 4.0 / self.max_window;
         }
         if uncached_tokens > 400.0 {
-            pace.prefill(outcome.first_ms / uncached_tokens);
+            pace.record_prefill_time(outcome.first_ms / uncached_tokens);
         }
         let tokens = outcome.prompt.0 + outcome.completion.0;
         self.cache.set_tokens(call.program, tokens);
@@ -150,13 +151,13 @@
     /// Expected duration of a call on this server, in milliseconds.
     pub(super) fn expected_call_ms(
         &self,
-        pace: &Pace,
+        pace: &Model,
         program: Program,
         prompt: u64,
         max_tokens: u64,
     ) -> f64 {
         let uncached_tokens = prompt.saturating_sub(self.cache.tokens(program)) as f64;
-        let tokens = pace.expected(max_tokens as f64);
+        let tokens = pace.expected_tokens(max_tokens as f64);
         let running = self.running() as f64 + 1.0;
         (uncached_tokens * pace.prefill_ms() + tokens * pace.token_ms(running))
             * self.slowdown.get()
