--- a/src/gateway/world/changes.rs
+++ b/src/gateway/world/changes.rs
@@ -1,35 +1,34 @@
-//! The newest changes to the directory, for VMs that follow this one.
+//! A bounded log of recent directory changes, for VMs that follow this one.
 
 use crate::gateway::world::directory::Change;
 use crate::id::Offset;
 use std::collections::VecDeque;
 
-/// Changes that are kept.
-const KEPT: usize = 8192;
+const MAX_CHANGES: usize = 8192;
 
-/// Changes in the order of the store, from one offset on.
+/// The changes after one store offset, in the order of their offsets.
 #[derive(Debug, Clone, Default)]
 pub struct Changes {
-    /// Every change after this offset is kept.
+    /// All changes after this offset are in `entries`.
     start: Offset,
-    kept: VecDeque<(Offset, Change)>,
-    /// How many were noted so far; one more each time that they begin anew.
+    entries: VecDeque<(Offset, Change)>,
+    /// Number of changes and restarts so far.
     noted: u64,
 }
 
-/// A part of the changes.
+/// Consecutive changes after an offset.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Part {
-    /// What stands in the directory after these changes, as an offset of the store.
+    /// The store offset that a directory reflects once the changes are applied.
     pub until: Offset,
-    /// The changes.
+    /// The changes in the order in which they have to be applied.
     pub changes: Vec<Change>,
-    /// Whether these are all.
+    /// Whether the log has no further changes.
     pub whole: bool,
 }
 
 impl Changes {
-    /// Changes of a directory that was read as a whole at an offset.
+    /// An empty log that follows a full read of the directory at `start`.
     #[must_use]
     pub fn from(start: Offset) -> Self {
         Self {
@@ -38,68 +37,68 @@
         }
     }
 
-    /// Begins anew with a directory that was read as a whole at an offset.
+    /// Clears the log after a full read of the directory at `start`.
     pub fn restart(&mut self, start: Offset) {
         self.start = start;
-        self.kept.clear();
+        self.entries.clear();
         self.noted += 1;
     }
 
-    /// How many changes were noted so far.
+    /// Number of changes and restarts so far, for [`Changes::since`].
     #[must_use]
     pub const fn noted(&self) -> u64 {
         self.noted
     }
 
-    /// The changes since so many were noted; none where they are not kept any more.
+    /// The changes since [`Changes::noted`] returned `noted`; `None` if some were dropped.
     #[must_use]
     pub fn since(&self, noted: u64) -> Option<impl Iterator<Item = &Change>> {
         let count = usize::try_from(self.noted - noted).ok()?;
-        let first = self.kept.len().checked_sub(count)?;
-        Some(self.kept.iter().skip(first).map(|(_, change)| change))
+        let first = self.entries.len().checked_sub(count)?;
+        Some(self.entries.iter().skip(first).map(|(_, change)| change))
     }
 
-    /// Notes a change that stands at an offset.
+    /// Appends a change with its offset; drops the oldest change if the log is full.
     pub fn push(&mut self, at: Offset, change: Change) {
-        self.kept.push_back((at, change));
+        self.entries.push_back((at, change));
         self.noted += 1;
-        if self.kept.len() > KEPT
-            && let Some((dropped, _)) = self.kept.pop_front()
+        if self.entries.len() > MAX_CHANGES
+            && let Some((dropped, _)) = self.entries.pop_front()
         {
             self.start = self.start.max(dropped);
         }
     }
 
-    /// The offset of the newest change.
+    /// The offset of the newest change, or the start of the log if it is empty.
     #[must_use]
     pub fn newest(&self) -> Offset {
-        self.kept.back().map_or(self.start, |(at, _)| *at)
+        self.entries.back().map_or(self.start, |(at, _)| *at)
     }
 
-    /// How many changes came after an offset.
+    /// Number of logged changes after an offset.
     #[must_use]
     pub fn count_after(&self, offset: Offset) -> usize {
-        self.kept.len() - self.kept.partition_point(|(at, _)| *at <= offset)
+        self.entries.len() - self.entries.partition_point(|(at, _)| *at <= offset)
     }
 
-    /// The changes after an offset, as many as `fits` takes; none where they are not kept any more, or where those of
-    /// one offset do not fit together.
+    /// The changes after an offset, up to the first one that `fits` rejects. Changes of one offset
+    /// are never split. `None` if changes were dropped, or if those of the first offset do not fit.
     pub fn after(&self, offset: Offset, mut fits: impl FnMut(&Change) -> bool) -> Option<Part> {
         if offset < self.start {
             return None;
         }
-        let first = self.kept.partition_point(|(at, _)| *at <= offset);
+        let first = self.entries.partition_point(|(at, _)| *at <= offset);
         let mut part = Part {
             until: self.newest().max(offset),
             changes: Vec::new(),
             whole: true,
         };
-        for (at, change) in self.kept.iter().skip(first) {
+        for (at, change) in self.entries.iter().skip(first) {
             if !fits(change) {
-                // Those of one offset belong together.
-                let end = self.kept.partition_point(|(other, _)| other < at);
+                // Changes of one offset must be applied together.
+                let end = self.entries.partition_point(|(other, _)| other < at);
                 part.changes.truncate(end.saturating_sub(first));
-                part.until = self.kept.get(end.checked_sub(1)?)?.0;
+                part.until = self.entries.get(end.checked_sub(1)?)?.0;
                 part.whole = false;
                 return (!part.changes.is_empty()).then_some(part);
             }
--- a/src/gateway/world/contact.rs
+++ b/src/gateway/world/contact.rs
@@ -1,4 +1,4 @@
-//! Finds the other VMs through the store.
+//! Discovers the other VMs through records in the store.
 
 use crate::clock;
 use crate::id::{Vm, Zone};
@@ -19,60 +19,59 @@
 use tokio::sync::{Mutex, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-/// The pause before the store is read again: first short, since all VMs may start at once, then
-/// rarely, since the membership itself brings news.
-const PAUSES: [Duration; 5] = [
+/// Pauses between rounds: short at first, since all VMs may start at once, then long, since the
+/// membership protocol announces new VMs itself.
+const ROUND_INTERVALS: [Duration; 5] = [
     Duration::from_millis(300),
     Duration::from_millis(700),
     Duration::from_secs(2),
     Duration::from_secs(3),
-    RENEWAL,
+    RENEWAL_INTERVAL,
 ];
-/// Time between two writes of this VM's own record.
-const RENEWAL: Duration = Duration::from_secs(30);
-/// How old a record may be whose VM is taken for a member before it has answered: two renewals, one of which
-/// may fail. A VM that has gone since is held in suspicion, and dropped some seconds later.
-const FRESH: Duration = Duration::from_mins(1);
-/// How long a VM that starts may take to know a configuration before it introduces itself all the same. An
-/// introduction from before that would have to be corrected by news to everybody.
-const SETTLED: Duration = Duration::from_millis(200);
-/// Time until what was passed to the membership is seen by others.
-const SEEN: Duration = Duration::from_millis(100);
-/// The path at which a VM gives the introductions of all.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(30);
+/// Age up to which a record makes its VM a member without a probe; allows for one failed renewal.
+const MAX_CONTACT_AGE: Duration = Duration::from_mins(1);
+/// How long a starting VM waits for a configuration before it publishes its introduction, which
+/// would otherwise need a correction right after.
+const READY_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time for the membership task to process the introductions passed to it.
+const MEMBERSHIP_DELAY: Duration = Duration::from_millis(100);
+/// HTTP path that serves the introductions of all VMs.
 pub(crate) const PATH: &str = "/introductions";
-/// How long the introductions of all are given before they are read again.
-const LISTED: Duration = Duration::from_secs(1);
-/// How long another VM may take to give them: it may have to read them first.
-const ANSWER: Duration = Duration::from_millis(1500);
-/// VMs that are asked for them, one after the other.
-const ASKED: usize = 2;
-/// Cells that are read at a time.
-const READS: usize = 8;
+/// How long a list of all introductions is reused.
+const LIST_CACHE_TTL: Duration = Duration::from_secs(1);
+/// Timeout of a request for another VM's list, which it may have to read from the store first.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1500);
+const MAX_READERS_TRIED: usize = 2;
+const MAX_CONCURRENT_READS: usize = 8;
 
-/// What a VM leaves at the store.
+/// The record of a VM in the store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Contact {
     introduction: Introduction,
-    /// When it was written, in milliseconds since the Unix epoch.
+    /// Time of the write in milliseconds since the Unix epoch.
     written_ms: u64,
 }
 
 impl Contact {
     fn is_fresh(&self, now_ms: u64) -> bool {
-        u128::from(now_ms.saturating_sub(self.written_ms)) < FRESH.as_millis()
+        u128::from(now_ms.saturating_sub(self.written_ms)) < MAX_CONTACT_AGE.as_millis()
     }
 }
 
-/// The introductions of all cells as they were read, and as others fetch them.
+/// The introductions of all cells, decoded and as served to other VMs.
 #[derive(Debug, Clone)]
-struct Listed {
-    at: Instant,
+struct CachedList {
+    read_at: Instant,
     list: List,
     encoded: Bytes,
 }
 
-/// The introductions of all VMs, and where they are read.
+/// Publishes this VM's introduction and reads those of the other VMs.
+///
+/// Each VM writes to one cell, a partition of the store. A VM reads its own cell, and gets the
+/// others from the VM that reads all cells on behalf of its cell.
 #[derive(Debug)]
 pub(crate) struct Contacts {
     store: Store,
@@ -80,16 +79,16 @@
     vm: Vm,
     zone: Zone,
     cells: u64,
-    /// The port at which VMs give introductions.
+    /// Port on which every VM serves the list of introductions.
     port: u16,
-    listed: RefCell<Option<Listed>>,
-    reading: Mutex<()>,
+    cached: RefCell<Option<CachedList>>,
+    read_lock: Mutex<()>,
 }
 
 impl Contacts {
     pub(crate) fn new(settings: &settings::Gateway) -> Self {
         let client = reqwest::Client::builder()
-            .timeout(ANSWER)
+            .timeout(FETCH_TIMEOUT)
             .pool_max_idle_per_host(0)
             .no_proxy()
             .build();
@@ -100,45 +99,44 @@
             zone: settings.zone.clone(),
             cells: settings.store.partitions,
             port: settings.listen.operators.port(),
-            listed: RefCell::default(),
-            reading: Mutex::default(),
+            cached: RefCell::default(),
+            read_lock: Mutex::default(),
         }
     }
 
-    /// Leaves this VM's introduction at the store, and passes on those of the others. `introduced` tells once the
-    /// others are known.
+    /// Publishes this VM's introduction to the store and sends those of the others to `lists`. Sets
+    /// `introduced` once the other VMs are known.
     pub(crate) async fn run(
         &self,
         mut introduction: watch::Receiver<Option<Introduction>>,
-        contacts: flume::Sender<List>,
+        lists: flume::Sender<List>,
         introduced: watch::Sender<bool>,
     ) {
         let mut round = 0;
-        let mut written = None;
-        let settled =
-            introduction.wait_for(|mine| mine.as_ref().is_some_and(|mine| mine.profile.ready));
-        // Where it takes longer, others hear of the rest by news.
-        let _ = timeout(SETTLED, settled).await;
+        let mut published = None;
+        let ready = introduction.wait_for(|own| own.as_ref().is_some_and(|own| own.profile.ready));
+        // After a timeout the membership protocol announces the completed profile.
+        let _ = timeout(READY_TIMEOUT, ready).await;
         loop {
-            let mine = introduction.borrow().clone();
-            let due = written != mine || round >= PAUSES.len();
-            if let Some(mine) = mine.filter(|_| due)
-                && self.write(mine.clone()).await
+            let own = introduction.borrow().clone();
+            let due = published != own || round >= ROUND_INTERVALS.len();
+            if let Some(own) = own.filter(|_| due)
+                && self.write(own.clone()).await
             {
-                written = Some(mine);
+                published = Some(own);
             }
             if let Some(list) = self.read().await {
-                if contacts.send_async(list).await.is_err() {
+                if lists.send_async(list).await.is_err() {
                     return;
                 }
                 if !*introduced.borrow() {
-                    sleep(SEEN).await;
+                    sleep(MEMBERSHIP_DELAY).await;
                     introduced.send_replace(true);
                 }
             }
-            let pause = PAUSES[usize::min(round, PAUSES.len() - 1)];
+            let interval = ROUND_INTERVALS[usize::min(round, ROUND_INTERVALS.len() - 1)];
             round += 1;
-            sleep(pause).await;
+            sleep(interval).await;
         }
     }
 
@@ -154,49 +152,50 @@
             key,
             value: Some(Bytes::from(value)),
         };
-        let written = self
+        let appended = self
             .store
             .append(CONTACT_TOPIC, cell, &[record], None)
             .await;
-        if let Err(fault) = &written {
+        if let Err(fault) = &appended {
             event!(debug, "contact_unwritten", cell = cell, reason = fault);
         }
-        written.is_ok()
+        appended.is_ok()
     }
 
-    /// All VMs: from one that reads all cells for this one, or from the store.
+    /// Lists all VMs, from the VM that reads all cells for this one or else from the store.
     async fn read(&self) -> Option<List> {
-        let own = cell(&self.vm, &self.zone, self.cells);
-        let near = match self.store.newest(CONTACT_TOPIC, own).await {
-            Ok(newest) => listed([newest]),
+        let own_cell = cell(&self.vm, &self.zone, self.cells);
+        let own_list = match self.store.newest(CONTACT_TOPIC, own_cell).await {
+            Ok(newest) => to_list([newest]),
             Err(fault) => {
-                event!(debug, "contacts_unread", cell = own, reason = fault);
-                return self.all().await;
+                event!(debug, "contacts_unread", cell = own_cell, reason = fault);
+                return self.list_all().await;
             }
         };
-        let peers: Vec<Peer> = near.introductions.iter().map(peer).collect();
-        for reader in readers(&peers).into_iter().take(ASKED) {
+        let peers: Vec<Peer> = own_list.introductions.iter().map(peer).collect();
+        for reader in readers(&peers).into_iter().take(MAX_READERS_TRIED) {
             if reader.vm == self.vm {
                 break;
             }
             if let Some(mut list) = self.fetch(reader.address).await {
-                // What they read themselves is newer than what the reader read before.
-                list.introductions.splice(0..0, near.introductions.clone());
-                list.vms.extend(near.vms);
+                // This VM's own read is newer than the reader's list, so it goes first.
+                list.introductions
+                    .splice(0..0, own_list.introductions.clone());
+                list.vms.extend(own_list.vms);
                 return Some(list);
             }
         }
-        self.all().await
+        self.list_all().await
     }
 
     async fn fetch(&self, reader: SocketAddr) -> Option<List> {
         let address = SocketAddr::new(reader.ip(), self.port);
-        let call = self.client.get(format!("http://{address}{PATH}"));
-        let fetched = async {
-            let reply = call.send().await?.error_for_status()?;
-            reply.bytes().await
+        let request = self.client.get(format!("http://{address}{PATH}"));
+        let body = async {
+            let response = request.send().await?.error_for_status()?;
+            response.bytes().await
         };
-        let bytes = match fetched.await {
+        let bytes = match body.await {
             Ok(bytes) => bytes,
             Err(error) => {
                 event!(debug, "contacts_not_given", from = address, reason = error);
@@ -206,37 +205,39 @@
         rmp_serde::from_slice(&bytes).ok()
     }
 
-    /// The introductions of all, as others fetch them.
+    /// The introductions of all VMs, as served at [`PATH`]; `None` if no cell could be read.
     pub(crate) async fn encoded(&self) -> Option<Bytes> {
-        self.read_all().await.map(|listed| listed.encoded)
+        self.read_all().await.map(|cached| cached.encoded)
     }
 
-    async fn all(&self) -> Option<List> {
-        self.read_all().await.map(|listed| listed.list)
+    async fn list_all(&self) -> Option<List> {
+        self.read_all().await.map(|cached| cached.list)
     }
 
-    /// Reads all cells, unless that was done a moment ago.
-    async fn read_all(&self) -> Option<Listed> {
-        // Who asks at the same time waits for one read.
-        let _reading = self.reading.lock().await;
-        let lately = self.listed.borrow().clone();
-        if let Some(listed) = lately.filter(|listed| listed.at.elapsed() < LISTED) {
-            return Some(listed);
+    /// Reads all cells, or returns the cached list if it is recent enough.
+    async fn read_all(&self) -> Option<CachedList> {
+        // Concurrent callers share one read.
+        let _guard = self.read_lock.lock().await;
+        let cached = self.cached.borrow().clone();
+        if let Some(cached) = cached.filter(|cached| cached.read_at.elapsed() < LIST_CACHE_TTL) {
+            return Some(cached);
         }
         let reads = (0..self.cells).map(|cell| self.store.newest(CONTACT_TOPIC, cell));
-        let read: Vec<Result<Newest, Fault>> =
-            stream::iter(reads).buffer_unordered(READS).collect().await;
-        if read.iter().all(Result::is_err) {
+        let results: Vec<Result<Newest, Fault>> = stream::iter(reads)
+            .buffer_unordered(MAX_CONCURRENT_READS)
+            .collect()
+            .await;
+        if results.iter().all(Result::is_err) {
             return None;
         }
-        let list = listed(read.into_iter().flatten());
-        let listed = Listed {
-            at: Instant::now(),
+        let list = to_list(results.into_iter().flatten());
+        let cached = CachedList {
+            read_at: Instant::now(),
             encoded: rmp_serde::to_vec(&list).ok()?.into(),
             list,
         };
-        *self.listed.borrow_mut() = Some(listed.clone());
-        Some(listed)
+        *self.cached.borrow_mut() = Some(cached.clone());
+        Some(cached)
     }
 }
 
@@ -250,7 +251,8 @@
     }
 }
 
-fn listed(cells: impl IntoIterator<Item = Newest>) -> List {
+/// Merges the records of cells. All VMs are addresses to contact; fresh ones are also introduced.
+fn to_list(cells: impl IntoIterator<Item = Newest>) -> List {
     let (now_ms, mut list) = (clock::wall_ms(), List::default());
     let records = cells.into_iter().flat_map(|newest| newest.records);
     let values = records.filter_map(|record| record.value);
--- a/src/gateway/world/copy.rs
+++ b/src/gateway/world/copy.rs
@@ -1,4 +1,4 @@
-//! Whole copies of the directory and of the configuration, which VMs give each other.
+//! Serves full copies of the directory and the configuration to other VMs.
 
 use crate::gateway::world::directory::Entry;
 use crate::gateway::world::state::World;
@@ -9,24 +9,23 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The path at which a VM gives a copy of its directory.
+/// HTTP path that serves a copy of the directory.
 pub(crate) const DIRECTORY_PATH: &str = "/directory";
-/// The part of a query that tells what the copy has to stand for at least.
-pub(crate) const LEAST: &str = "least";
-/// The path at which a VM gives a copy of its configuration.
+/// Query parameter with the lowest store offset, or configuration version, that the client accepts.
+pub(crate) const MIN_PARAMETER: &str = "least";
+/// HTTP path that serves a copy of the configuration.
 pub(crate) const CONFIG_PATH: &str = "/config";
-/// Copies that a VM gives at a time. Whoever gets none asks another VM, so that the number of VMs with a copy
-/// doubles again and again.
-const AT_A_TIME: usize = 4;
+/// A VM that is turned away asks another one, so that copies spread over many VMs.
+const MAX_CONCURRENT_COPIES: usize = 4;
 
 /// A copy of a directory.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct Directory {
-    /// What it stands for.
+    /// The store offset that the copy reflects.
     pub(super) as_of: Offset,
-    /// How old it is, in milliseconds.
+    /// Milliseconds since the store last confirmed the content.
     pub(super) age_ms: u64,
-    /// The entries, encoded once for all that ask.
+    /// The encoded entries, cached between requests.
     pub(super) entries: Bytes,
 }
 
@@ -39,50 +38,53 @@
 /// A copy of a configuration.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct Config {
-    /// The configuration, without the keys of teams.
+    /// The configuration without API keys.
     pub(super) raw: Bytes,
-    /// Where the records after it begin.
+    /// Offset of the next configuration record to read.
     pub(super) next: Offset,
 }
 
-/// Gives copies to other VMs.
+/// Serves copies to other VMs, with limited concurrency.
 #[derive(Debug, Default)]
 pub(crate) struct Copier {
-    /// The newest encoded entries, and the digest of their directory.
+    /// Digest of the last encoded directory, and its encoded entries.
     entries: RefCell<Option<(u64, Bytes)>>,
-    given: Arc<AtomicUsize>,
+    in_flight: Arc<AtomicUsize>,
 }
 
-/// Bytes that are on their way to another VM.
-struct Given {
+/// A response body that counts as in flight until it is dropped.
+struct CountedBody {
     bytes: Vec<u8>,
-    count: Arc<AtomicUsize>,
+    in_flight: Arc<AtomicUsize>,
 }
 
-impl AsRef<[u8]> for Given {
+impl AsRef<[u8]> for CountedBody {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-impl Drop for Given {
+impl Drop for CountedBody {
     fn drop(&mut self) {
-        self.count.fetch_sub(1, Ordering::Relaxed);
+        self.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// What a copy has to stand for at least.
-fn least(query: Option<&str>) -> u64 {
-    let least = query.and_then(|query| query.strip_prefix(LEAST)?.strip_prefix('='));
-    least.and_then(|least| least.parse().ok()).unwrap_or(0)
+/// The value of [`MIN_PARAMETER`]; zero if it is absent or malformed.
+fn minimum(query: Option<&str>) -> u64 {
+    let minimum = query.and_then(|query| query.strip_prefix(MIN_PARAMETER)?.strip_prefix('='));
+    minimum
+        .and_then(|minimum| minimum.parse().ok())
+        .unwrap_or(0)
 }
 
 impl Copier {
-    /// A copy of the directory; none where this VM has none, only an older one, or gives enough already.
+    /// A copy of the directory; `None` if this VM has no directory, its directory is too old, or too
+    /// many copies are in flight.
     pub(crate) fn directory(&self, world: &World, query: Option<&str>) -> Option<Bytes> {
-        let least = Offset(least(query));
-        let busy = self.given.load(Ordering::Relaxed) >= AT_A_TIME;
-        if !world.listed || world.as_of < least || busy {
+        let minimum = Offset(minimum(query));
+        let busy = self.in_flight.load(Ordering::Relaxed) >= MAX_CONCURRENT_COPIES;
+        if !world.listed || world.as_of < minimum || busy {
             return None;
         }
         let age = world.aged?.elapsed();
@@ -91,41 +93,42 @@
             age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
             entries: self.entries(world)?,
         };
-        Some(self.give(rmp_serde::to_vec(&copy).ok()?))
+        Some(self.count_body(rmp_serde::to_vec(&copy).ok()?))
     }
 
-    /// A copy of the configuration; none where this VM has none, only an older one, or gives enough already.
+    /// A copy of the configuration; `None` if this VM has no configuration, its version is too old,
+    /// or too many copies are in flight.
     pub(crate) fn config(&self, world: &World, query: Option<&str>) -> Option<Bytes> {
-        let older = world.table.as_ref()?.version < least(query);
-        if older || self.given.load(Ordering::Relaxed) >= AT_A_TIME {
+        let outdated = world.table.as_ref()?.version < minimum(query);
+        if outdated || self.in_flight.load(Ordering::Relaxed) >= MAX_CONCURRENT_COPIES {
             return None;
         }
         let copy = Config {
             raw: world.raw.clone()?,
             next: world.config_next?,
         };
-        Some(self.give(rmp_serde::to_vec(&copy).ok()?))
+        Some(self.count_body(rmp_serde::to_vec(&copy).ok()?))
     }
 
-    fn give(&self, bytes: Vec<u8>) -> Bytes {
-        self.given.fetch_add(1, Ordering::Relaxed);
-        Bytes::from_owner(Given {
+    fn count_body(&self, bytes: Vec<u8>) -> Bytes {
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
+        Bytes::from_owner(CountedBody {
             bytes,
-            count: Arc::clone(&self.given),
+            in_flight: Arc::clone(&self.in_flight),
         })
     }
 
     fn entries(&self, world: &World) -> Option<Bytes> {
         let digest = world.directory.digest();
-        let mut newest = self.entries.borrow_mut();
-        if let Some((known, bytes)) = newest.as_ref()
-            && *known == digest
+        let mut cached = self.entries.borrow_mut();
+        if let Some((cached_digest, bytes)) = cached.as_ref()
+            && *cached_digest == digest
         {
             return Some(bytes.clone());
         }
         let entries: Vec<&Entry> = world.directory.iter().map(|entry| &**entry).collect();
         let bytes = Bytes::from(rmp_serde::to_vec(&entries).ok()?);
-        *newest = Some((digest, bytes.clone()));
+        *cached = Some((digest, bytes.clone()));
         Some(bytes)
     }
 }
--- a/src/gateway/world/directory.rs
+++ b/src/gateway/world/directory.rs
@@ -7,35 +7,35 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-/// The identity of one run of a backend server: its name and the time of its start.
+/// The identity of one instance of a backend server: its name and its start time.
 ///
-/// A server that starts again under its name holds and knows nothing of before. With an identity of
-/// its own, what is known of the run before (connections, load, failures, kept prompts) is void.
+/// A restarted server gets a new identity, so that connections, load, failures and cached prompts
+/// of the previous instance are not attributed to it.
 pub type Id = Arc<str>;
 
-/// A backend server as it describes itself.
+/// A backend server as it registered itself.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "Registration", into = "Registration")]
 pub struct Entry {
-    /// The identity of this run.
+    /// Identity of this instance.
     pub id: Id,
-    /// The name under which it registers, which outlasts a restart.
+    /// Name of the server, which stays the same across restarts.
     pub name: Arc<str>,
-    /// When this run began, in milliseconds since the Unix epoch; zero where it does not say.
+    /// Start time of this instance in milliseconds since the Unix epoch; zero if unknown.
     pub born_ms: u64,
-    /// The service that it belongs to.
+    /// Name of the service that the server belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: String,
-    /// Requests that it works on at a time.
+    /// Number of requests that the server processes concurrently.
     pub slots: usize,
-    /// Whether it is about to leave and must get nothing new.
+    /// Whether the server is shutting down and must get no new requests.
     pub draining: bool,
 }
 
-/// An [`Entry`] as VMs pass it on: without the identity, which follows from the rest.
+/// The encoding of an [`Entry`] between VMs: without the identity, which is derived.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Registration(Arc<str>, u64, String, SocketAddr, String, usize, bool);
 
@@ -69,19 +69,19 @@
     }
 }
 
-/// What a record of the directory says.
+/// An update to one server in the directory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// The server is as described.
+    /// The server was registered or updated.
     #[serde(rename = "s")]
     Set(Arc<Entry>),
-    /// The server of this name is gone.
+    /// The server of this name was removed.
     #[serde(rename = "r")]
     Removed(Arc<str>),
 }
 
 impl Change {
-    /// The name of the server.
+    /// The name of the server that was set or removed.
     #[must_use]
     pub fn name(&self) -> &Arc<str> {
         match self {
@@ -91,7 +91,7 @@
     }
 }
 
-/// The identity of the run of a server that began then.
+/// Returns the identity of the instance of server `name` that started at `born_ms`.
 ///
 /// ```
 /// assert_eq!(&*vanillatrail::gateway::directory::identity("s", 5), "s@5");
@@ -110,45 +110,44 @@
     hasher.finish()
 }
 
-/// All registered backend servers.
+/// The registered backend servers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Directory {
     entries: HashMap<Id, Arc<Entry>>,
-    /// The newest run of each server, by name.
-    runs: HashMap<Arc<str>, Id>,
-    /// Of all entries, in no order.
+    /// The current instance of each server, by name.
+    instances: HashMap<Arc<str>, Id>,
+    /// XOR of the hashes of all entries, so that their order does not matter.
     digest: u64,
-    /// Records that could not be read, by name, as a hash: each is told once.
+    /// Hashes of malformed records by server name, so that each is logged once.
     refused: HashMap<String, u64>,
 }
 
-/// Records that could not be read and are remembered.
-const REFUSED: usize = 1000;
+const MAX_REFUSED_RECORDS: usize = 1000;
 
 impl Directory {
-    /// Whether a change would change anything.
+    /// Whether applying `change` would have an effect.
     #[must_use]
     pub fn differs(&self, change: &Change) -> bool {
         match change {
-            Change::Removed(name) => self.runs.contains_key(name),
-            // A late record of the run before changes nothing.
+            Change::Removed(name) => self.instances.contains_key(name),
+            // A late record of a previous instance has no effect.
             Change::Set(entry) => self
                 .named(&entry.name)
                 .is_none_or(|known| known.born_ms <= entry.born_ms && known != entry),
         }
     }
 
-    /// Takes in a change; tells whether it changed anything.
+    /// Applies a change and returns whether it had an effect.
     pub fn apply(&mut self, change: Change) -> bool {
         if !self.differs(&change) {
             return false;
         }
-        if let Some(id) = self.runs.remove(change.name()) {
+        if let Some(id) = self.instances.remove(change.name()) {
             self.remove(&id);
         }
         if let Change::Set(entry) = change {
             let (name, id) = (Arc::clone(&entry.name), Arc::clone(&entry.id));
-            self.runs.insert(name, Arc::clone(&id));
+            self.instances.insert(name, Arc::clone(&id));
             self.digest ^= digest(&entry);
             self.entries.insert(id, entry);
         }
@@ -161,52 +160,52 @@
         }
     }
 
-    /// A digest of all entries: two directories with the same one hold the same servers.
+    /// An order-independent hash of all entries, to compare two directories.
     #[must_use]
     pub const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Remembers a record that can't be read; tells whether it is a new one.
-    pub fn refuse(&mut self, name: &str, record: &[u8]) -> bool {
-        if self.refused.len() >= REFUSED {
+    /// Remembers a malformed record and returns whether it was unknown, so that it is logged once.
+    pub fn note_refused(&mut self, name: &str, record: &[u8]) -> bool {
+        if self.refused.len() >= MAX_REFUSED_RECORDS {
             self.refused.clear();
         }
         let hash = xxh3_64(record);
         self.refused.insert(name.to_owned(), hash) != Some(hash)
     }
 
-    /// The newest run of a server by its name.
+    /// The current instance of the server with this name.
     #[must_use]
     pub fn named(&self, name: &str) -> Option<&Arc<Entry>> {
-        self.entries.get(self.runs.get(name)?)
+        self.entries.get(self.instances.get(name)?)
     }
 
-    /// A server by the identity of its run.
+    /// The server with this instance identity.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Arc<Entry>> {
         self.entries.get(id)
     }
 
-    /// The servers of a service, those about to leave among them.
+    /// The servers of a service, including draining ones.
     pub fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Arc<Entry>> {
         self.entries
             .values()
             .filter(move |entry| entry.service == service)
     }
 
-    /// All servers.
+    /// All servers, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Entry>> {
         self.entries.values()
     }
 
-    /// How many servers there are.
+    /// Number of servers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no server is registered.
+    /// Whether the directory has no servers.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
--- a/src/gateway/world/feed.rs
+++ b/src/gateway/world/feed.rs
@@ -1,6 +1,6 @@
-//! The thread that follows the configuration and the directory.
+//! Keeps the configuration and the directory of this VM up to date, on a thread of its own.
 
-use crate::gateway::world::copies;
+use crate::gateway::world::copy_fetcher;
 use crate::gateway::world::health::Health;
 use crate::gateway::world::reader::Reader;
 use crate::gateway::world::relay::{Heard, Relay};
@@ -13,14 +13,13 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// The pause before a VM that is about to have a directory is asked again.
-const SOON: Duration = Duration::from_millis(100);
-/// How long the store may not be asked while a copy is on its way.
-const HEARD: Duration = Duration::from_millis(1200);
-/// How long a VM that starts waits to know the others before it reads the directory itself.
-const INTRODUCED: Duration = Duration::from_millis(1500);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Longest time without a read of the configuration while a copy of a newer one is being fetched.
+const MAX_READ_AGE: Duration = Duration::from_millis(1200);
+/// How long a starting VM waits for peer discovery before it reads the directory itself.
+const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Follows both until the process ends.
+/// Follows the configuration and the directory until the process ends.
 pub(crate) async fn run(
     sources: Sources,
     socket: std::net::UdpSocket,
@@ -32,7 +31,7 @@
     tokio::join!(
         follow_config(&sources, &relay, &worlds),
         follow_directory(&sources, &relay),
-        copies::follow(&sources, &relay, &worlds),
+        copy_fetcher::follow(&sources, &relay, &worlds),
         relay.receive(),
         relay.tell(),
     );
@@ -43,28 +42,28 @@
     let mut store = Store::new(sources.store);
     let mut health = Health::new("config");
     loop {
-        let began = Instant::now();
-        // A copy of a newer one is on its way: reading it here as well would cost the store its bytes again.
-        let told = relay.told_config.get();
+        let started = Instant::now();
+        // While another VM's copy is being fetched, a read would only add load on the store.
+        let announced = relay.told_config.get();
         let known = worlds.borrow().version();
-        let on_its_way =
-            told.is_some_and(|(version, at)| version > known && known > 0 && at.elapsed() < period);
-        let heard = worlds.borrow().heard;
-        if on_its_way && heard.is_some_and(|heard| heard.elapsed() < HEARD) {
-            sleep(SOON).await;
+        let copy_pending = announced
+            .is_some_and(|(version, at)| version > known && known > 0 && at.elapsed() < period);
+        let last_read = worlds.borrow().heard;
+        if copy_pending && last_read.is_some_and(|at| at.elapsed() < MAX_READ_AGE) {
+            sleep(RETRY_DELAY).await;
             continue;
         }
         match read_config(&store, worlds).await {
             Ok(()) => {
-                if health.good().is_some() {
+                if health.record_success().is_some() {
                     relay.store_back.set(Some(Instant::now()));
                 }
                 relay.has_store.set(true);
                 worlds.send_if_modified(|world| {
-                    world.heard = world.heard.max(Some(began));
+                    world.heard = world.heard.max(Some(started));
                     false
                 });
-                sleep(period.saturating_sub(began.elapsed())).await;
+                sleep(period.saturating_sub(started.elapsed())).await;
             }
             Err(Fault::Trimmed(_)) => {
                 worlds.send_if_modified(|world| {
@@ -74,7 +73,7 @@
             }
             Err(fault) => {
                 relay.has_store.set(false);
-                health.bad(&fault, &mut store).await;
+                health.record_failure(&fault, &mut store).await;
             }
         }
     }
@@ -105,27 +104,28 @@
 async fn follow_directory(sources: &Sources, relay: &Relay) {
     let period = sources.period();
     let mut reader = Reader::new(sources.store);
-    let started = Instant::now();
+    let follow_started = Instant::now();
     loop {
-        let began = Instant::now();
-        let (asked, reads) = relay.sources(sources);
-        // Who knows few others would take itself for the first one. Without the store nobody is introduced, and
-        // others may be known by the settings.
-        let introduced = *sources.introduced.borrow() || started.elapsed() > INTRODUCED;
-        match relay.hear(&asked, reads).await {
-            Heard::News => reader.rest(),
+        let round_started = Instant::now();
+        let (peers, may_read) = relay.sources(sources);
+        // A VM that knows few others would elect itself as the reader. Discovery needs the store,
+        // hence the timeout.
+        let peers_known =
+            *sources.introduced.borrow() || follow_started.elapsed() > PEER_DISCOVERY_TIMEOUT;
+        match relay.hear(&peers, may_read).await {
+            Heard::News => reader.deactivate(),
             Heard::More => continue,
-            Heard::Nobody if reads && introduced => {
+            Heard::Nobody if may_read && peers_known => {
                 if !reader.read(relay).await {
                     continue;
                 }
             }
-            Heard::Nobody if introduced => {}
+            Heard::Nobody if peers_known => {}
             Heard::Soon | Heard::Nobody => {
-                sleep(SOON).await;
+                sleep(RETRY_DELAY).await;
                 continue;
             }
         }
-        sleep(period.saturating_sub(began.elapsed())).await;
+        sleep(period.saturating_sub(round_started.elapsed())).await;
     }
 }
--- a/src/gateway/world/health.rs
+++ b/src/gateway/world/health.rs
@@ -1,53 +1,55 @@
-//! Whether the store answers one of the tasks that read it.
+//! Tracks store outages as seen by one of the tasks that read the store.
 
 use crate::platform::store::{Fault, Store};
 use crate::telemetry::event;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The pause after a failed read, at first and at most.
-pub(super) const PAUSE: (Duration, Duration) =
+/// Minimum and maximum backoff after a failed read.
+pub(super) const BACKOFF: (Duration, Duration) =
     (Duration::from_millis(50), Duration::from_millis(800));
 
-/// Tells of a lost and a regained dependency once, and paces the tries between.
+/// Logs the start and the end of an outage once, and applies exponential backoff in between.
 #[derive(Debug)]
 pub(super) struct Health {
-    what: &'static str,
-    lost: Option<Instant>,
-    pause: Duration,
+    /// Name of the data that the task reads, for the log.
+    data: &'static str,
+    lost_at: Option<Instant>,
+    backoff: Duration,
 }
 
 impl Health {
-    pub(super) const fn new(what: &'static str) -> Self {
+    pub(super) const fn new(data: &'static str) -> Self {
         Self {
-            what,
-            lost: None,
-            pause: PAUSE.0,
+            data,
+            lost_at: None,
+            backoff: BACKOFF.0,
         }
     }
 
-    /// A call succeeded; gives how long the store was away, if it was.
-    pub(super) fn good(&mut self) -> Option<Duration> {
-        self.pause = PAUSE.0;
-        let away = self.lost.take()?.elapsed();
+    /// Records a successful call; returns the length of the outage that it ends, if any.
+    pub(super) fn record_success(&mut self) -> Option<Duration> {
+        self.backoff = BACKOFF.0;
+        let outage = self.lost_at.take()?.elapsed();
         event!(
             info,
             "store_back",
-            for_what = self.what,
-            away_ms = away.as_millis()
+            for_what = self.data,
+            away_ms = outage.as_millis()
         );
-        Some(away)
+        Some(outage)
     }
 
-    pub(super) async fn bad(&mut self, fault: &Fault, store: &mut Store) {
-        if self.lost.is_none() {
-            self.lost = Some(Instant::now());
-            event!(warn, "store_lost", for_what = self.what, reason = fault);
+    /// Records a failed call and waits for the backoff. Reconnects if the call was not answered.
+    pub(super) async fn record_failure(&mut self, fault: &Fault, store: &mut Store) {
+        if self.lost_at.is_none() {
+            self.lost_at = Some(Instant::now());
+            event!(warn, "store_lost", for_what = self.data, reason = fault);
         }
         if matches!(fault, Fault::Unknown(_)) {
             store.reconnect();
         }
-        sleep(self.pause).await;
-        self.pause = (self.pause * 2).min(PAUSE.1);
+        sleep(self.backoff).await;
+        self.backoff = (self.backoff * 2).min(BACKOFF.1);
     }
 }
--- a/src/gateway/world/mod.rs
+++ b/src/gateway/world/mod.rs
@@ -1,9 +1,9 @@
-//! What is followed from the store: the configuration, the backend servers, and the other VMs.
+//! Follows the configuration, the directory of backend servers and the other VMs through the store.
 
 pub mod changes;
 pub(crate) mod contact;
-mod copies;
 pub(crate) mod copy;
+mod copy_fetcher;
 pub mod directory;
 pub(crate) mod feed;
 mod health;
--- a/src/gateway/world/reader.rs
+++ b/src/gateway/world/reader.rs
@@ -1,8 +1,8 @@
-//! Reads the directory at the store, on the VM that does so for the others.
+//! Reads the directory from the store, on the VM that does so on behalf of the others.
 
 use crate::gateway::world::health::Health;
 use crate::gateway::world::relay::Relay;
-use crate::gateway::world::state::{apply, whole};
+use crate::gateway::world::state::{apply_all, apply_record};
 use crate::id::Offset;
 use crate::platform::records::DIRECTORY_TOPIC;
 use crate::platform::store::{Fault, Store};
@@ -11,22 +11,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After an outage servers whose records lapsed write them again, within about two seconds. Until
-/// then a missing record says nothing of its server.
-const RETURN: Duration = Duration::from_millis(2300);
+/// Time after a store outage in which servers renew expired records. Until then a missing record
+/// does not mean that its server is gone.
+const REREGISTRATION_TIMEOUT: Duration = Duration::from_millis(2300);
 
-/// What the reader remembers between two reads.
 #[derive(Debug)]
 pub(super) struct Reader {
     store: Store,
     health: Health,
-    /// Where the next read begins; none where all records have to be read.
+    /// Offset of the next record to read; `None` to read the latest record of every server.
     next: Option<Offset>,
-    /// Until when a record that was missing when the store came back says nothing. Then all are read once more.
-    lenient_until: Option<Instant>,
-    reading: bool,
-    /// When the store was last back, as far as this has been acted on.
-    back: Option<Instant>,
+    /// Until this time servers without a record are kept; then all records are read again.
+    keep_missing_until: Option<Instant>,
+    active: bool,
+    /// The last recovery of the store that has been acted on.
+    handled_recovery: Option<Instant>,
 }
 
 impl Reader {
@@ -35,39 +34,39 @@
             store: Store::new(store),
             health: Health::new("directory"),
             next: None,
-            lenient_until: None,
-            reading: false,
-            back: None,
+            keep_missing_until: None,
+            active: false,
+            handled_recovery: None,
         }
     }
 
-    /// Another VM reads again.
-    pub(super) fn rest(&mut self) {
-        if std::mem::take(&mut self.reading) {
+    /// Stops reading, since another VM reads on behalf of this one.
+    pub(super) fn deactivate(&mut self) {
+        if std::mem::take(&mut self.active) {
             event!(info, "directory_reader", reads = false);
         }
     }
 
-    /// Reads what is new. Gives false where the store did not answer.
+    /// Reads new records. Returns false if the store did not answer.
     pub(super) async fn read(&mut self, relay: &Relay) -> bool {
-        if !std::mem::replace(&mut self.reading, true) {
+        if !std::mem::replace(&mut self.active, true) {
             event!(info, "directory_reader", reads = true);
-            self.begin(relay);
+            self.activate(relay);
         }
-        // Others may have read on while the store did not answer this VM.
-        let missed = !relay.is_fresh();
-        let back = relay.store_back.get();
-        if back > self.back {
-            self.back = back;
-            if missed {
-                self.read_all_twice(back);
+        // False if other VMs kept the directory up to date while the store did not answer this one.
+        let outdated = !relay.is_fresh();
+        let recovered = relay.store_back.get();
+        if recovered > self.handled_recovery {
+            self.handled_recovery = recovered;
+            if outdated {
+                self.read_all_twice(recovered);
             }
         }
-        let began = Instant::now();
-        match self.read_new(relay).await {
+        let started = Instant::now();
+        match self.read_pending(relay).await {
             Ok(()) => {
-                relay.aged(began);
-                if self.health.good().is_some() && missed {
+                relay.aged(started);
+                if self.health.record_success().is_some() && outdated {
                     self.read_all_twice(Some(Instant::now()));
                 }
                 true
@@ -77,42 +76,43 @@
                 true
             }
             Err(fault) => {
-                self.health.bad(&fault, &mut self.store).await;
+                self.health.record_failure(&fault, &mut self.store).await;
                 false
             }
         }
     }
 
-    /// Goes on from what the VM that read before has passed on. It may have kept servers whose records were
-    /// missing after an outage, so that all records are read again a little later.
-    fn begin(&mut self, relay: &Relay) {
+    /// Continues at the offset of the previous reader. That reader may have kept servers without a
+    /// record after an outage, so all records are read again later.
+    fn activate(&mut self, relay: &Relay) {
         self.next = relay.as_of();
-        self.lenient_until = self.next.map(|_| Instant::now() + RETURN);
+        self.keep_missing_until = self.next.map(|_| Instant::now() + REREGISTRATION_TIMEOUT);
     }
 
-    /// Reads all records now, and once more when servers have had the time to come back since then.
-    fn read_all_twice(&mut self, back: Option<Instant>) {
-        self.lenient_until = back.map(|back| back + RETURN);
+    /// Schedules a read of all records now, and another one when servers have had time to register
+    /// again since the recovery of the store.
+    fn read_all_twice(&mut self, recovered: Option<Instant>) {
+        self.keep_missing_until = recovered.map(|recovered| recovered + REREGISTRATION_TIMEOUT);
         self.next = None;
     }
 
-    async fn read_new(&mut self, relay: &Relay) -> Result<(), Fault> {
-        let lenient = self
-            .lenient_until
+    async fn read_pending(&mut self, relay: &Relay) -> Result<(), Fault> {
+        let keep_missing = self
+            .keep_missing_until
             .is_some_and(|until| Instant::now() < until);
-        if self.lenient_until.is_some() && !lenient {
-            self.lenient_until = None;
-            // What is still missing now is gone.
+        if self.keep_missing_until.is_some() && !keep_missing {
+            self.keep_missing_until = None;
+            // Reads all records again; servers that are still missing are removed.
             self.next = None;
         }
         let Some(mut from) = self.next else {
             let newest = self.store.newest(DIRECTORY_TOPIC, 0).await?;
             self.next = Some(newest.end);
             relay.replace(newest.end, |world| {
-                let first = !world.listed;
-                let changes = whole(world, &newest.records, lenient);
-                if first {
-                    // One line for all, not one for each of thousands.
+                let initial = !world.listed;
+                let changes = apply_all(world, &newest.records, keep_missing);
+                if initial {
+                    // Replaces one log line per server.
                     event!(info, "directory_read", servers = world.directory.len());
                 }
                 changes
@@ -128,8 +128,8 @@
             self.next = Some(from);
             relay.update(from, |world| {
                 let records = page.records.iter();
-                let changes =
-                    records.filter_map(|(at, record)| Some((*at, apply(world, record, false)?)));
+                let changes = records
+                    .filter_map(|(at, record)| Some((*at, apply_record(world, record, false)?)));
                 changes.collect()
             });
             if page.records.is_empty() || page.next >= page.end {
--- a/src/gateway/world/snapshot.rs
+++ b/src/gateway/world/snapshot.rs
@@ -1,8 +1,7 @@
-//! Copies of the configuration and the directory, for a VM that starts while the store does not
-//! give it the originals.
+//! Snapshots of the configuration and the directory, kept in several partitions of the store.
 //!
-//! Two ways lead to a copy: partitions of the store other than those of the originals, and the VMs
-//! that run. After the loss of all VMs in a partial outage only the first is left.
+//! A VM that starts while the original partitions are unavailable reads a snapshot if no other VM
+//! has a copy.
 
 use crate::gateway::Gateway;
 use crate::gateway::world::directory::Entry;
@@ -19,30 +18,26 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Partitions that hold a copy. With a quarter of all partitions away, one of three is there in 98
-/// of 100 cases.
-const PARTS: std::ops::RangeInclusive<u64> = 1..=3;
-/// Time between two looks at whether the copy has to be written again.
-const PERIOD: Duration = Duration::from_millis(700);
-/// Bytes of a copy; the store takes records of 256 KiB.
-const LARGEST: usize = 250_000;
-/// The key of the copy.
-const KEY: &str = "newest";
-/// Backend servers in a copy at most: beyond that it would not fit.
-const SERVERS: usize = 3000;
+/// Partitions that hold a snapshot; several, so that one is likely to be available in an outage.
+const PARTITIONS: std::ops::RangeInclusive<u64> = 1..=3;
+const CHECK_INTERVAL: Duration = Duration::from_millis(700);
+/// Just below the store's limit of 256 KiB per record.
+const MAX_SNAPSHOT_BYTES: usize = 250_000;
+const SNAPSHOT_KEY: &str = "newest";
+/// A larger directory would exceed [`MAX_SNAPSHOT_BYTES`].
+const MAX_SERVERS: usize = 3000;
 
-/// The configuration and the directory.
+/// The configuration and the directory, as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Snapshot {
-    /// The configuration, in base64.
+    /// The configuration without API keys, in base64.
     config: String,
-    /// The backend servers.
     pub(crate) servers: Vec<Arc<Entry>>,
 }
 
 impl Snapshot {
-    /// What a VM knows, if it knows enough to route.
+    /// The snapshot of `world`; `None` unless both the configuration and the directory are known.
     fn of(world: &World) -> Option<Self> {
         let raw = world.raw.as_ref().filter(|_| world.listed)?;
         Some(Self {
@@ -60,18 +55,18 @@
     }
 }
 
-/// Keeps the copies at the store up to date, on the first VM by rank.
+/// Keeps the snapshots in the store up to date, on the VM that the membership elects for it.
 pub(crate) async fn keep(gateway: Rc<Gateway>) {
     let store = Store::new(gateway.settings.store.address);
     let mut written = None;
     loop {
-        sleep(PERIOD).await;
-        let first = gateway
+        sleep(CHECK_INTERVAL).await;
+        let writer = gateway
             .view
             .borrow()
             .first("snapshot")
             .map(|member| member.vm.clone());
-        if first.as_ref() != Some(&gateway.settings.vm) {
+        if writer.as_ref() != Some(&gateway.settings.vm) {
             written = None;
             continue;
         }
@@ -82,42 +77,56 @@
             if current == written {
                 continue;
             }
-            let few = world.directory.len() <= SERVERS;
-            (current, few.then(|| Snapshot::of(&world)).flatten())
+            let fits = world.directory.len() <= MAX_SERVERS;
+            (current, fits.then(|| Snapshot::of(&world)).flatten())
         };
         write(&store, gateway.settings.store.partitions, snapshot.as_ref()).await;
         written = current;
     }
 }
 
-/// Writes the copy, or drops it where it does not fit: one of another time would name few servers, and old ones.
+/// Writes the snapshot to all its partitions, or deletes it if it is too large, since an old one
+/// would list outdated servers.
 async fn write(store: &Store, partitions: u64, snapshot: Option<&Snapshot>) {
     let value = snapshot.map(Snapshot::encode);
-    let value = value.filter(|value| value.len() <= LARGEST);
+    let value = value.filter(|value| value.len() <= MAX_SNAPSHOT_BYTES);
     if value.is_none() {
         event!(warn, "snapshot_too_large");
     }
     let record = Keyed {
-        key: KEY.to_owned(),
+        key: SNAPSHOT_KEY.to_owned(),
         value: value.map(Bytes::from),
     };
-    for part in PARTS.filter(|part| *part < partitions) {
-        let written = store.append(SNAPSHOT_TOPIC, part, std::slice::from_ref(&record), None);
-        if let Err(fault) = written.await {
-            event!(debug, "snapshot_unwritten", part = part, reason = fault);
+    for partition in PARTITIONS.filter(|partition| *partition < partitions) {
+        let append = store.append(
+            SNAPSHOT_TOPIC,
+            partition,
+            std::slice::from_ref(&record),
+            None,
+        );
+        if let Err(fault) = append.await {
+            event!(
+                debug,
+                "snapshot_unwritten",
+                part = partition,
+                reason = fault
+            );
         }
     }
 }
 
-/// The copy in the store, from the first partition that gives it.
+/// Reads the snapshot from the first partition that answers with one.
 pub(crate) async fn from_store(store: &Store) -> Option<Snapshot> {
-    for part in PARTS {
-        let Ok(newest) = store.newest(SNAPSHOT_TOPIC, part).await else {
+    for partition in PARTITIONS {
+        let Ok(newest) = store.newest(SNAPSHOT_TOPIC, partition).await else {
             continue;
         };
-        let record = newest.records.into_iter().find(|record| record.key == KEY);
-        let snapshot = record.and_then(|record| record.value);
-        if let Some(value) = snapshot {
+        let record = newest
+            .records
+            .into_iter()
+            .find(|record| record.key == SNAPSHOT_KEY);
+        let value = record.and_then(|record| record.value);
+        if let Some(value) = value {
             return serde_json::from_slice(&value).ok();
         }
     }
--- a/src/gateway/world/sources.rs
+++ b/src/gateway/world/sources.rs
@@ -1,4 +1,4 @@
-//! Where the configuration and the directory come from, and how often they are read.
+//! The sources of the configuration and the directory, and how often they are read.
 
 use crate::gateway::world::state::World;
 use crate::id;
@@ -13,49 +13,45 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Reads in the time after which a change must act. Two may be lost, and a change passes up to three VMs on its way.
-const READS: u32 = 6;
-/// The longest time between two of them. A VM whose newest read is older than 1.4 s says that it has lost the
-/// store.
-const LONGEST_PERIOD: Duration = Duration::from_secs(1);
+/// Reads within the configured time bound; leaves room for lost reads and several hops between VMs.
+const READS_PER_BOUND: u32 = 6;
+/// Below the read age at which a VM reports the store as lost.
+const MAX_PERIOD: Duration = Duration::from_secs(1);
+const MAX_SAME_ZONE_ADDRESSES: usize = 3;
 
-/// VMs of the own zone that may be asked for a copy.
-const NEAR: usize = 3;
-
-/// Where the feed finds the originals and their copies.
+/// Addresses and settings for reading the configuration and the directory.
 #[derive(Debug, Clone)]
 pub(crate) struct Sources {
-    /// This VM.
+    /// Name of this VM.
     pub(crate) vm: id::Vm,
-    /// The store.
     pub(crate) store: SocketAddr,
-    /// The port at which VMs give copies.
+    /// Port on which every VM serves copies.
     pub(crate) port: u16,
     /// Addresses of other VMs from the settings.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// The availability zone of this VM.
+    /// Availability zone of this VM.
     pub(crate) zone: id::Zone,
-    /// The members.
+    /// The membership as seen by this VM.
     pub(crate) view: watch::Receiver<Arc<View>>,
-    /// How soon a change has to act.
+    /// Time bounds within which changes must be applied.
     pub(crate) bounds: settings::Bounds,
-    /// Whether the other VMs are known.
+    /// Whether peer discovery has found the other VMs.
     pub(crate) introduced: watch::Receiver<bool>,
 }
 
-/// The port of the datagrams about the directory: the second after that of membership.
+/// The address on which a member exchanges directory datagrams: two ports above its membership port.
 pub(crate) fn address(member: SocketAddr) -> SocketAddr {
     SocketAddr::new(member.ip(), member.port() + 2)
 }
 
 impl Sources {
-    /// Time between two reads of the configuration, and between two questions for the directory.
+    /// Interval of configuration reads and of requests for directory changes.
     pub(super) fn period(&self) -> Duration {
         let bound = self.bounds.drain_ms.min(self.bounds.config_ms);
-        (Duration::from_millis(bound) / READS).min(LONGEST_PERIOD)
+        (Duration::from_millis(bound) / READS_PER_BOUND).min(MAX_PERIOD)
     }
 
-    /// Whom this VM asks for changes to the directory.
+    /// The VMs that this one asks for directory changes, in order.
     pub(super) fn relays(&self) -> relay::Order {
         let view = self.view.borrow();
         let members = view.members.values();
@@ -71,7 +67,7 @@
         relay::order(&self.vm, &peers)
     }
 
-    /// Some other VMs at random, to be asked for changes.
+    /// Up to `count` random other VMs to ask for directory changes.
     pub(super) fn some_relays(&self, count: usize) -> Vec<SocketAddr> {
         let view = self.view.borrow();
         let members = view.members.values();
@@ -80,22 +76,22 @@
         others.sample(&mut rand::rng(), count)
     }
 
-    /// Whether some VM has applied a newer configuration.
+    /// Whether another VM has applied a newer configuration.
     pub(super) fn is_behind(&self, world: &World) -> bool {
         let known = world.version();
         self.view.borrow().newest.0 > known
     }
 
-    /// Where other VMs of the zone give copies, at random.
-    pub(super) fn near(&self) -> Vec<SocketAddr> {
+    /// Random VMs of this zone to fetch copies from.
+    pub(super) fn same_zone_addresses(&self) -> Vec<SocketAddr> {
         let view = self.view.borrow();
         let members = view.members.values();
-        let near = members.filter(|member| member.zone == self.zone && member.vm != self.vm);
-        let near = near.map(|member| SocketAddr::new(member.address.ip(), self.port));
-        near.sample(&mut rand::rng(), NEAR)
+        let same_zone = members.filter(|member| member.zone == self.zone && member.vm != self.vm);
+        let addresses = same_zone.map(|member| SocketAddr::new(member.address.ip(), self.port));
+        addresses.sample(&mut rand::rng(), MAX_SAME_ZONE_ADDRESSES)
     }
 
-    /// Where other VMs give copies, in the order in which they are asked.
+    /// All VMs to fetch copies from, in the order of preference.
     pub(super) fn addresses(&self) -> Vec<SocketAddr> {
         let view = self.view.borrow();
         let members = view.members.values().map(|member| Holder {
@@ -110,10 +106,8 @@
         });
         let mut holders: Vec<Holder> = members.chain(seeds).collect();
         order(&mut holders, &mut rand::rng());
-        let mut listed = HashSet::new();
+        let mut seen = HashSet::new();
         let addresses = holders.into_iter().map(|holder| holder.address);
-        addresses
-            .filter(|address| listed.insert(*address))
-            .collect()
+        addresses.filter(|address| seen.insert(*address)).collect()
     }
 }
--- a/src/gateway/world/state.rs
+++ b/src/gateway/world/state.rs
@@ -1,4 +1,4 @@
-//! What is known of the configuration and the directory, and how records change it.
+//! The configuration and the server directory as this VM knows them, and how records update them.
 
 use crate::gateway::world::changes::Changes;
 use crate::gateway::world::directory::{Change, Directory, Entry};
@@ -15,31 +15,30 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What the other threads see of the configuration and the directory.
+/// The configuration and the server directory, as published to the other threads.
 #[derive(Debug, Clone)]
 pub(crate) struct World {
-    /// The newest configuration; none until one is known.
+    /// The newest configuration; `None` until one is known.
     pub(crate) table: Option<Arc<Table>>,
-    /// The backend servers.
     pub(crate) directory: Arc<Directory>,
-    /// The configuration for VMs that can't read it at the store, without the keys of teams.
+    /// The encoded configuration without API keys, for copies.
     pub(crate) raw: Option<bytes::Bytes>,
-    /// When the newest read of the configuration began that the store answered. It does not wait for a change, so
-    /// the store was there at that time.
+    /// Start of the newest configuration read that the store answered. These reads do not wait for
+    /// a change, so the store was reachable at that time.
     pub(crate) heard: Option<Instant>,
-    /// Whether the directory has been read.
+    /// Whether the directory has been read or copied at least once.
     pub(crate) listed: bool,
-    /// Its newest changes.
+    /// The newest changes to the directory.
     pub(crate) changes: Changes,
-    /// What the directory stands for, as an offset of the store.
+    /// The store offset that the directory reflects.
     pub(crate) as_of: Offset,
-    /// When the store said what stands in the directory.
+    /// When the store last confirmed the content of the directory, here or at the VM followed.
     pub(crate) aged: Option<Instant>,
-    /// The VM from which changes of the directory come; none where this one reads the store.
+    /// The VM from which directory changes come; `None` if this one reads the store.
     pub(crate) source: Option<SocketAddr>,
-    /// Where the records after the configuration begin.
+    /// Offset of the next configuration record to read; `None` to read the latest one.
     pub(crate) config_next: Option<Offset>,
-    lines: Lines,
+    log_limiter: LogLimiter,
 }
 
 impl World {
@@ -55,22 +54,23 @@
             aged: None,
             source: None,
             config_next: None,
-            lines: Lines::default(),
+            log_limiter: LogLimiter::default(),
         }
     }
 
-    /// The version of the configuration; zero where none is known.
+    /// The version of the configuration; zero if none is known.
     pub(crate) fn version(&self) -> u64 {
         self.table.as_ref().map_or(0, |table| table.version)
     }
 
-    /// Whether requests can be routed.
+    /// Whether both the configuration and the directory are known, so that requests can be routed.
     pub(crate) fn is_complete(&self) -> bool {
         self.table.is_some() && self.listed
     }
 
-    /// Takes in a copy of the store's. Its directory is used only where none was read, since servers that have left
-    /// meanwhile may stand in it; the configuration has a version.
+    /// Applies a snapshot from the store and returns whether anything changed.
+    ///
+    /// Its directory may list servers that have left since, so it is used only if none is known.
     pub(crate) fn learn_snapshot(&mut self, snapshot: Snapshot) -> bool {
         let from = "copy";
         let mut changed = false;
@@ -85,12 +85,12 @@
                 servers = entries.len(),
                 from = from
             );
-            changed |= !copied(self, entries).is_empty();
+            changed |= !replace_directory(self, entries).is_empty();
         }
         changed
     }
 
-    /// Takes in a configuration unless it is older than the one known. Tells whether it is new.
+    /// Applies a configuration if it is newer than the known one, and returns whether it was.
     pub(crate) fn learn(&mut self, raw: &bytes::Bytes, from: &str) -> bool {
         if self.raw.as_ref() == Some(raw) {
             return false;
@@ -103,7 +103,7 @@
             }
         };
         let known = self.version();
-        // Never back: a read that was under way, or a peer that lags, may bring an older version.
+        // A read in flight or a lagging peer may deliver an older version.
         if self.table.is_some() && table.version <= known {
             return false;
         }
@@ -128,25 +128,26 @@
     }
 }
 
-/// Takes in the newest record of each server; gives what changed.
-pub(super) fn whole(world: &mut World, records: &[Keyed], lenient: bool) -> Vec<Change> {
-    let first = !world.listed;
+/// Applies the latest records of all servers and returns what changed. Servers without a record are
+/// removed unless `keep_missing` is set.
+pub(super) fn apply_all(world: &mut World, records: &[Keyed], keep_missing: bool) -> Vec<Change> {
+    let initial = !world.listed;
     let mut changes: Vec<Change> = records
         .iter()
-        .filter_map(|record| apply(world, record, first))
+        .filter_map(|record| apply_record(world, record, initial))
         .collect();
     let present = records.iter().filter(|record| record.value.is_some());
     let present: HashSet<&str> = present.map(|record| record.key.as_str()).collect();
-    if !lenient {
-        changes.extend(retain(world, |name| present.contains(name)));
+    if !keep_missing {
+        changes.extend(remove_missing(world, |name| present.contains(name)));
     }
     world.listed = true;
     changes
 }
 
-/// Takes in the directory of another VM; gives what changed.
-pub(super) fn copied(world: &mut World, entries: Vec<Arc<Entry>>) -> Vec<Change> {
-    let first = !world.listed;
+/// Replaces the directory with a copy and returns what changed.
+pub(super) fn replace_directory(world: &mut World, entries: Vec<Arc<Entry>>) -> Vec<Change> {
+    let initial = !world.listed;
     let present: HashSet<Arc<str>> = entries
         .iter()
         .map(|entry| Arc::clone(&entry.name))
@@ -154,19 +155,19 @@
     let mut changes = Vec::new();
     for entry in entries {
         let change = Change::Set(entry);
-        if apply_change(world, &change, first) {
+        if apply_change(world, &change, initial) {
             changes.push(change);
         }
     }
-    changes.extend(retain(world, |name| present.contains(name)));
+    changes.extend(remove_missing(world, |name| present.contains(name)));
     world.listed = true;
     changes
 }
 
-fn retain(world: &mut World, stays: impl Fn(&str) -> bool) -> Vec<Change> {
+fn remove_missing(world: &mut World, is_present: impl Fn(&str) -> bool) -> Vec<Change> {
     let entries = world.directory.iter();
     let missing: Vec<Change> = entries
-        .filter(|entry| !stays(&entry.name))
+        .filter(|entry| !is_present(&entry.name))
         .map(|entry| Change::Removed(Arc::clone(&entry.name)))
         .collect();
     for change in &missing {
@@ -175,66 +176,67 @@
     missing
 }
 
-/// Takes in one record; gives what it changes. It is logged unless the record is one of the `first`.
-pub(super) fn apply(world: &mut World, record: &Keyed, first: bool) -> Option<Change> {
+/// Applies one record and returns the change, if any. Changes of the `initial` read are not logged.
+pub(super) fn apply_record(world: &mut World, record: &Keyed, initial: bool) -> Option<Change> {
     let change = match server(record) {
         Ok(change) => change,
         Err(reason) => {
-            // Another writer's, or rubbish: it names no server to use, and the others hold.
+            // A malformed record makes only its own server unusable.
             let raw = record.value.as_deref().unwrap_or_default();
-            if Arc::make_mut(&mut world.directory).refuse(&record.key, raw) {
+            if Arc::make_mut(&mut world.directory).note_refused(&record.key, raw) {
                 event!(warn, "server_refused", server = record.key, reason = reason);
             }
             Change::Removed(record.key.as_str().into())
         }
     };
-    apply_change(world, &change, first).then_some(change)
+    apply_change(world, &change, initial).then_some(change)
 }
 
-/// Takes in one change; tells whether it changes anything.
-pub(super) fn apply_change(world: &mut World, change: &Change, first: bool) -> bool {
+/// Applies one change and returns whether it had an effect. Changes of the `initial` read are not
+/// logged.
+pub(super) fn apply_change(world: &mut World, change: &Change, initial: bool) -> bool {
     if !world.directory.differs(change) {
         return false;
     }
     let before = world.directory.named(change.name()).cloned();
     Arc::make_mut(&mut world.directory).apply(change.clone());
-    if !first && world.lines.take(Instant::now()) {
+    if !initial && world.log_limiter.allow(Instant::now()) {
         log_change(before, world.directory.named(change.name()));
     }
     true
 }
 
-/// Lines of a second about single servers. A release of thousands of servers is told in part.
+/// Limits the rate of log lines about single servers, since a rollout may change thousands at once.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Lines {
-    since: Option<Instant>,
-    told: u32,
-    untold: u32,
+pub(crate) struct LogLimiter {
+    window_start: Option<Instant>,
+    logged: u32,
+    suppressed: u32,
 }
 
-/// Lines of one second.
-const LINES: u32 = 32;
-const SECOND: Duration = Duration::from_secs(1);
+const MAX_LINES_PER_WINDOW: u32 = 32;
+const LOG_WINDOW: Duration = Duration::from_secs(1);
 
-impl Lines {
-    /// Whether one more line may be written. Those that were left out are counted in one line later.
-    fn take(&mut self, now: Instant) -> bool {
+impl LogLimiter {
+    /// Whether one more line may be written. The number of suppressed lines is logged in a later
+    /// window.
+    fn allow(&mut self, now: Instant) -> bool {
         if self
-            .since
-            .is_none_or(|since| now.saturating_duration_since(since) >= SECOND)
+            .window_start
+            .is_none_or(|start| now.saturating_duration_since(start) >= LOG_WINDOW)
         {
-            if self.untold > 0 {
-                event!(info, "server_changes_untold", count = self.untold);
+            if self.suppressed > 0 {
+                event!(info, "server_changes_untold", count = self.suppressed);
             }
             *self = Self {
-                since: Some(now),
+                window_start: Some(now),
                 ..Self::default()
             };
         }
-        let fits = self.told < LINES;
-        self.told += u32::from(fits);
-        self.untold += u32::from(!fits);
-        fits
+        let allowed = self.logged < MAX_LINES_PER_WINDOW;
+        self.logged += u32::from(allowed);
+        self.suppressed += u32::from(!allowed);
+        allowed
     }
 }
 
--- a/src/gateway/world/table.rs
+++ b/src/gateway/world/table.rs
@@ -1,4 +1,4 @@
-//! Routes: which service answers a request, and what may be done with it on the way.
+//! The routing table: which service serves a request, and how it may be retried, queued and limited.
 
 use crate::gateway::world::team::Teams;
 use std::collections::HashMap;
@@ -7,19 +7,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What may be repeated of a request.
+/// Whether requests of a route may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// It may run more than once.
+    /// A request may run more than once.
     Safe,
-    /// It may run at most once.
+    /// A request must run at most once.
     Unsafe,
-    /// Its answer is a series of events.
+    /// The response is an event stream; whether it can be retried depends on [`Route::resumable`].
     Stream,
 }
 
 impl Kind {
-    /// Its name.
+    /// The name used in the configuration and in logs.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -44,53 +44,53 @@
             "safe" => Ok(Self::Safe),
             "unsafe" => Ok(Self::Unsafe),
             "stream" => Ok(Self::Stream),
-            other => Err(format!("not a kind of route: `{other}`")),
+            other => Err(format!("unknown route kind `{other}`")),
         }
     }
 }
 
-/// A service that a route leads to, and its share of the requests.
+/// One service behind a route, with its share of the requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its share, against the weights of the other targets.
+    /// Share of the requests, relative to the weights of the route's other targets.
     pub weight: f64,
 }
 
-/// A route.
+/// How requests for one host and path prefix are handled.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route in logs and metrics.
     pub name: String,
-    /// The host that a request must name.
+    /// Matches the `Host` header, ignoring case and port.
     pub host: String,
-    /// How the path of a request must begin; begins and ends with a slash.
+    /// Matches the start of the request path; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub kind: Kind,
-    /// How long a caller may be kept waiting for the final answer.
+    /// Longest time until the response is complete.
     pub timeout: Duration,
-    /// The time within which an answer is worth most.
+    /// Latency objective (SLO) of the route; zero if none is configured.
     pub objective: Duration,
-    /// Backend servers that one request may run on.
+    /// Maximum number of backend servers that one request is tried on.
     pub attempts: u32,
-    /// The rank; 0 goes first.
+    /// Scheduling priority; 0 is the highest.
     pub rank: u8,
-    /// Where requests go.
+    /// The services that requests are split between.
     pub targets: Vec<Target>,
-    /// Whether a broken stream may go on at another backend server.
+    /// Whether a broken stream may be resumed on another backend server.
     pub resumable: bool,
-    /// Whether callers send only what is new in a turn, and the system keeps what was said before.
+    /// Whether the gateway stores the conversation history, so that callers send only the new turn.
     pub keeps_turns: bool,
-    /// How long a program may pause between two turns and still come back.
+    /// How long a program may stay idle between two turns; `None` for the default.
     pub program_idle: Option<Duration>,
-    /// Whether its requests need no key.
+    /// Whether requests need no API key.
     pub public: bool,
 }
 
 impl Route {
-    /// Whether a request may run more than once.
+    /// Whether a request may run more than once, judged by the kind and [`Route::resumable`].
     #[must_use]
     pub fn idempotent(&self) -> bool {
         match self.kind {
@@ -100,14 +100,14 @@
         }
     }
 
-    /// The service for a request; `draw` is uniform over all numbers and decides among the targets.
+    /// Picks a target by weight; `draw` is uniform over all `u64` values. `None` without targets.
     #[must_use]
     pub fn service(&self, draw: u64) -> Option<&str> {
         let total: f64 = self.targets.iter().map(|target| target.weight).sum();
-        let mut left = draw as f64 / u64::MAX as f64 * total;
+        let mut remaining = draw as f64 / u64::MAX as f64 * total;
         for target in &self.targets {
-            left -= target.weight;
-            if left < 0.0 {
+            remaining -= target.weight;
+            if remaining < 0.0 {
                 return Some(&target.service);
             }
         }
@@ -115,34 +115,34 @@
     }
 }
 
-/// What is known of a service.
+/// Settings of a service.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Service {
-    /// Connections that one of its servers accepts, from all VMs together.
+    /// Connections that one server accepts from all VMs together; `None` if not configured.
     pub max_connections: Option<usize>,
-    /// Set where its servers are model engines.
+    /// Set if the servers of the service are model engines.
     pub engine: Option<Engine>,
 }
 
-/// What is known of the engines of a service.
+/// Settings of the model engines of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests that one engine batches.
+    /// Requests that one engine processes in a batch.
     pub slots: usize,
-    /// Tokens that fit into one engine's memory.
+    /// Capacity of one engine's KV cache, in tokens.
     pub memory_tokens: u64,
-    /// Tokens that one event of a stream stands for.
+    /// Tokens per event of a response stream.
     pub tokens_per_event: u64,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sizes {
-    /// Bytes of a request's head.
+    /// Maximum size of the request line and headers.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// How long a kept connection may stay idle.
+    /// Time after which an idle keep-alive connection is closed.
     pub idle: Duration,
 }
 
@@ -159,19 +159,20 @@
 /// One version of the configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Table {
-    /// Its version; a higher one replaces it.
+    /// Version number; a configuration with a higher version replaces this one.
     pub version: u64,
+    /// Routes by host, in lower case; the longest prefixes first.
     routes: HashMap<String, Vec<Arc<Route>>>,
     /// Services by name.
     pub services: HashMap<String, Service>,
-    /// Bounds on what a caller may send.
+    /// Limits on callers' requests and connections.
     pub sizes: Sizes,
-    /// The teams that may send requests; none where no keys are asked for.
+    /// The teams that may send requests; `None` if requests need no API key.
     pub teams: Option<Teams>,
 }
 
 impl Table {
-    /// A table of `routes`.
+    /// Indexes `routes` by host and prefix. The table has no teams.
     #[must_use]
     pub fn new(
         version: u64,
@@ -196,7 +197,7 @@
         }
     }
 
-    /// The route with the longest prefix that begins `path`, among those of `host`.
+    /// Finds the route of `host` with the longest prefix that matches `path`.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host);
@@ -207,13 +208,13 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// How many routes there are.
+    /// Number of routes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
 
-    /// Whether there is no route.
+    /// Whether the table has no routes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
--- a/src/gateway/world/team.rs
+++ b/src/gateway/world/team.rs
@@ -1,4 +1,4 @@
-//! Teams: who may send requests, by which keys, and how many.
+//! Teams: API keys, priorities and request limits of callers.
 
 use crate::policy::limit::Limit;
 use base64::Engine;
@@ -8,26 +8,26 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Bytes of a fingerprint. Of 128 bits nobody finds a second key, and 2,700 teams with three keys each stay small.
-const SIZE: usize = 16;
+const FINGERPRINT_BYTES: usize = 16;
 
-/// What a key is compared by, so that no key stays in memory, in a copy or in a log.
+/// A truncated hash of an API key, stored in its place so that no key stays in memory, copies or
+/// logs.
 ///
 /// ```
 /// use vanillatrail::gateway::team::Fingerprint;
-/// let print = Fingerprint::of(b"a key");
-/// assert_eq!(print.to_string().parse(), Ok(print));
+/// let fingerprint = Fingerprint::of(b"a key");
+/// assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Fingerprint([u8; SIZE]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl Fingerprint {
-    /// The fingerprint of a key. Keys are drawn at random, so that no salt is needed.
+    /// Computes the fingerprint of a key. Keys are random, so no salt is needed.
     #[must_use]
     pub fn of(key: &[u8]) -> Self {
         let hash = blake3::hash(key);
-        let mut bytes = [0; SIZE];
-        bytes.copy_from_slice(&hash.as_bytes()[..SIZE]);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&hash.as_bytes()[..FINGERPRINT_BYTES]);
         Self(bytes)
     }
 }
@@ -45,23 +45,25 @@
         let bytes = URL_SAFE_NO_PAD
             .decode(text)
             .map_err(|error| error.to_string())?;
-        let bytes = bytes.try_into().map_err(|_| format!("not {SIZE} bytes"))?;
+        let bytes = bytes
+            .try_into()
+            .map_err(|_| format!("fingerprint is not {FINGERPRINT_BYTES} bytes long"))?;
         Ok(Self(bytes))
     }
 }
 
-/// A team.
+/// A group of callers that share API keys, a priority and a request limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team, sent to backend servers.
     pub name: Arc<str>,
-    /// The rank of its requests, in place of their route's; 0 goes first.
+    /// Priority of the team's requests, 0 is the highest; `None` for that of the route.
     pub rank: Option<u8>,
-    /// Its limit; none where it has none.
+    /// Limit on the team's request rate; `None` if unlimited.
     pub limit: Option<Limit>,
 }
 
-/// All teams, by the fingerprints of their keys.
+/// The teams of a configuration, indexed by name and by the fingerprints of their keys.
 ///
 /// ```
 /// use vanillatrail::gateway::team::{Fingerprint, Team, Teams};
@@ -72,56 +74,58 @@
 /// ```
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Teams {
-    named: HashMap<Arc<str>, Arc<Team>>,
-    holders: HashMap<Fingerprint, Arc<Team>>,
+    by_name: HashMap<Arc<str>, Arc<Team>>,
+    by_key: HashMap<Fingerprint, Arc<Team>>,
 }
 
 impl Teams {
-    /// Teams with the fingerprints of their keys.
+    /// Indexes teams, each given with the fingerprints of its keys.
     #[must_use]
     pub fn new(teams: impl IntoIterator<Item = (Team, Vec<Fingerprint>)>) -> Self {
-        let mut all = Self::default();
+        let mut index = Self::default();
         for (team, keys) in teams {
             let team = Arc::new(team);
-            all.holders
+            index
+                .by_key
                 .extend(keys.into_iter().map(|key| (key, Arc::clone(&team))));
-            all.named.insert(Arc::clone(&team.name), team);
+            index.by_name.insert(Arc::clone(&team.name), team);
         }
-        all
+        index
     }
 
-    /// The team that holds a key.
+    /// The team that an API key belongs to.
     #[must_use]
     pub fn holder(&self, key: &[u8]) -> Option<&Arc<Team>> {
-        self.holders.get(&Fingerprint::of(key))
+        self.by_key.get(&Fingerprint::of(key))
     }
 
-    /// A team by its name.
+    /// The team with this name.
     #[must_use]
     pub fn named(&self, name: &str) -> Option<&Arc<Team>> {
-        self.named.get(name)
+        self.by_name.get(name)
     }
 
-    /// How many teams there are.
+    /// Number of teams.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.named.len()
+        self.by_name.len()
     }
 
-    /// Whether there is no team.
+    /// Whether the configuration has no teams.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.named.is_empty()
+        self.by_name.is_empty()
     }
 }
 
-/// Bytes of a scoped name at the most; a key of the store has 255.
-const LONGEST: usize = 200;
+/// Below the store's limit of 255 bytes per key.
+const MAX_NAME_BYTES: usize = 200;
 
-/// The name of something of a team, which no other team can name: a program, a line or a turn.
+/// Prefixes a name that a caller chose, of a program, session or turn, with the caller's team, so
+/// that equal names of two teams differ.
 ///
-/// Callers choose these names, and those of two teams may be the same. Without a team a name stays as it is, so
-/// that deployments without teams read their records from before. A long one is replaced by its fingerprint.
+/// Without a team the name is unchanged, so that records of deployments without teams stay valid. A
+/// long name is replaced by its fingerprint.
 ///
 /// ```
 /// use vanillatrail::gateway::team::scoped;
@@ -132,19 +136,21 @@
 /// ```
 #[must_use]
 pub fn scoped(team: Option<&str>, name: &str) -> String {
-    let scope = team.map(|team| escaped(team) + "/").unwrap_or_default();
-    let whole = scope + name;
-    if whole.len() <= LONGEST {
-        return whole;
+    let prefix = team
+        .map(|team| percent_encode(team) + "/")
+        .unwrap_or_default();
+    let full_name = prefix + name;
+    if full_name.len() <= MAX_NAME_BYTES {
+        return full_name;
     }
-    Fingerprint::of(whole.as_bytes()).to_string()
+    Fingerprint::of(full_name.as_bytes()).to_string()
 }
 
-/// A team's name without slashes, and printable.
-fn escaped(team: &str) -> String {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+/// Percent-encodes a team's name, slashes included.
+fn percent_encode(team: &str) -> String {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     let parts = team.bytes().map(|byte| match byte {
-        byte if plain(byte) => char::from(byte).to_string(),
+        byte if is_plain(byte) => char::from(byte).to_string(),
         byte => format!("%{byte:02X}"),
     });
     parts.collect()
