--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,4 +1,4 @@
-//! The headers that callers and backend servers use, decoded into what they say.
+//! Decodes and rewrites the headers of requests from callers and responses of backend servers.
 
 use crate::policy::dispatch::Load;
 use crate::policy::prefix::Part;
@@ -12,33 +12,33 @@
 const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-expect-instance");
 const EXPECT_VERSION: HeaderName = HeaderName::from_static("x-expect-version");
 const NOT_RUN: HeaderName = HeaderName::from_static("x-not-run");
-/// The server's proof that the answer is its own.
-const SEAL: HeaderName = HeaderName::from_static("x-server-seal");
+/// Proves that a response was produced by the server.
+const SERVER_SEAL: HeaderName = HeaderName::from_static("x-server-seal");
 const PROGRAM: HeaderName = HeaderName::from_static("x-program");
 const SESSION: HeaderName = HeaderName::from_static("x-session");
-/// Milliseconds until the whole program should be finished, not this request.
+/// Milliseconds until the whole program, not this request, should be finished.
 const FINISH: HeaderName = HeaderName::from_static("x-finish-ms");
 const TOKEN_BUDGET: HeaderName = HeaderName::from_static("x-token-budget");
-/// Two numbers: tokens of the prompt, and the most tokens to generate.
+/// Two numbers: tokens of the prompt, and the maximum number of tokens to generate.
 const TOKEN_COUNT: HeaderName = HeaderName::from_static("x-token-count");
-/// The parts of the prompt in order, each an identity, a colon and its tokens; the first ones are
-/// shared with other programs, and every turn adds one.
+/// The parts of the prompt in order, each as `ID:TOKENS`. The first parts are shared with other
+/// programs; every turn adds one.
 const PROMPT_PARTS: HeaderName = HeaderName::from_static("x-prompt-prefix");
-/// The identity of the request that made the turn that this one goes on from.
+/// Request ID of the turn that this request continues.
 const PREV_TURN: HeaderName = HeaderName::from_static("x-prev-turn");
-const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
-/// Three numbers: requests that run, requests that wait, and places.
+const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
+/// Three numbers: running requests, waiting requests, and slots.
 const SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// What a caller proves its team by. It goes to no server.
-const KEY: HeaderName = HeaderName::from_static("api-key");
-/// The team that holds the caller's key, for the server.
+/// Authenticates a caller; never forwarded to servers.
+const API_KEY: HeaderName = HeaderName::from_static("api-key");
+/// Tells a server the team of the caller.
 const TEAM: HeaderName = HeaderName::from_static("x-tenant");
 
-/// Headers that only the system may set: a caller's are dropped.
-const OURS: [HeaderName; 9] = [
+/// Headers that only the gateway may set; dropped from callers' requests.
+const RESERVED: [HeaderName; 9] = [
     TEAM,
     DEADLINE,
     EXPECT_INSTANCE,
@@ -50,8 +50,8 @@
     HeaderName::from_static("kv-fetch"),
 ];
 
-/// Headers that concern one connection only.
-const HOP: [HeaderName; 8] = [
+/// Hop-by-hop headers, which are not forwarded.
+const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     KEEP_ALIVE,
     PROXY_CONNECTION,
@@ -62,49 +62,48 @@
     CONTENT_LENGTH,
 ];
 
-/// What a request says of itself.
+/// The decoded headers of a caller's request.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Meta {
-    /// The identity of this attempt of the caller.
+    /// Request ID; a caller's retry has an ID of its own.
     pub(crate) id: String,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub(crate) wait: Option<Duration>,
-    /// The program that it belongs to.
+    /// The program that the request belongs to.
     pub(crate) program: Option<String>,
-    /// The line of turns within the program.
+    /// The session within the program.
     pub(crate) line: Option<String>,
-    /// Milliseconds until the whole program should be finished; below zero when it is late.
+    /// Milliseconds until the whole program should be finished; negative if it is late.
     pub(crate) finish_ms: Option<i64>,
-    /// Tokens that all turns of the program may generate.
+    /// Token budget for all turns of the program.
     pub(crate) budget: Option<u64>,
-    /// The most tokens that this turn generates.
+    /// Maximum number of tokens that this turn generates.
     pub(crate) most_tokens: u64,
-    /// The first parts of the prompt.
+    /// The leading parts of the prompt.
     pub(crate) prompt: Vec<Part>,
-    /// The last event that the caller has.
+    /// The last event that the caller has received, when it resumes a stream.
     pub(crate) last_event: Option<u64>,
-    /// The turn that it goes on from.
+    /// The turn that this request continues.
     pub(crate) prev_turn: Option<String>,
-    /// The name of the turn that this request makes, where turns are kept: the identity, or what a team makes of it.
+    /// Name under which this request's turn is stored: the request ID, scoped to the team if any.
     pub(crate) turn: String,
 }
 
-fn text(headers: &HeaderMap, name: &HeaderName) -> Option<String> {
+fn header_text(headers: &HeaderMap, name: &HeaderName) -> Option<String> {
     let value = headers.get(name)?.to_str().ok()?;
     Some(value.trim().to_owned())
 }
 
-fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
-    text(headers, name)?.parse().ok()
+fn header_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+    header_text(headers, name)?.parse().ok()
 }
 
-/// Parts of a prompt that are looked at; prompts of the programs known have up to four.
-const PARTS: usize = 16;
+const MAX_PROMPT_PARTS: usize = 16;
 
-/// The parts of the prompt; none where they can't be read.
-fn prompt(headers: &HeaderMap) -> Vec<Part> {
-    let text = text(headers, &PROMPT_PARTS).unwrap_or_default();
-    let parts = text.split(',').take(PARTS).map(|part| {
+/// The leading parts of the prompt; empty if the header is absent or malformed.
+fn prompt_parts(headers: &HeaderMap) -> Vec<Part> {
+    let text = header_text(headers, &PROMPT_PARTS).unwrap_or_default();
+    let parts = text.split(',').take(MAX_PROMPT_PARTS).map(|part| {
         let (id, tokens) = part.trim().rsplit_once(':')?;
         Some(Part {
             id: xxh3_64(id.as_bytes()),
@@ -116,23 +115,23 @@
 
 impl Meta {
     pub(crate) fn of(headers: &HeaderMap) -> Self {
-        let counts = text(headers, &TOKEN_COUNT).unwrap_or_default();
-        let most = counts
+        let counts = header_text(headers, &TOKEN_COUNT).unwrap_or_default();
+        let max_tokens = counts
             .split(',')
             .nth(1)
             .and_then(|part| part.trim().parse().ok());
-        let id = text(headers, &REQUEST_ID).unwrap_or_default();
+        let id = header_text(headers, &REQUEST_ID).unwrap_or_default();
         Self {
             turn: id.clone(),
             id,
-            wait: number(headers, &DEADLINE).map(Duration::from_millis),
-            program: text(headers, &PROGRAM),
-            line: text(headers, &SESSION),
-            finish_ms: text(headers, &FINISH).and_then(|text| text.parse().ok()),
-            budget: number(headers, &TOKEN_BUDGET),
-            most_tokens: most.unwrap_or_default(),
-            prompt: prompt(headers),
-            last_event: number(headers, &LAST_EVENT),
+            wait: header_number(headers, &DEADLINE).map(Duration::from_millis),
+            program: header_text(headers, &PROGRAM),
+            line: header_text(headers, &SESSION),
+            finish_ms: header_text(headers, &FINISH).and_then(|text| text.parse().ok()),
+            budget: header_number(headers, &TOKEN_BUDGET),
+            most_tokens: max_tokens.unwrap_or_default(),
+            prompt: prompt_parts(headers),
+            last_event: header_number(headers, &LAST_EVENT_ID),
             prev_turn: headers.get(&PREV_TURN).map(|value| {
                 let text = value.to_str().unwrap_or_default();
                 text.trim().to_owned()
@@ -141,36 +140,38 @@
     }
 }
 
-/// Takes a caller's key out of the headers, so that no copy of it goes further; none where there is not just one.
+/// Removes the API key from the headers, so that it is not forwarded. `None` unless there is exactly
+/// one.
 pub(crate) fn take_key(headers: &mut HeaderMap) -> Option<HeaderValue> {
-    let several = headers.get_all(KEY).iter().count() > 1;
-    headers.remove(KEY).filter(|_| !several)
+    let several = headers.get_all(API_KEY).iter().count() > 1;
+    headers.remove(API_KEY).filter(|_| !several)
 }
 
-/// Whether the framing could be read in two ways: then another reader might see a second request.
+/// Whether the message length is ambiguous, which would allow request smuggling.
 pub(crate) fn ambiguous(headers: &HeaderMap) -> bool {
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let encodings = headers.get_all(TRANSFER_ENCODING).iter().count();
     lengths > 1 || encodings > 1 || (lengths == 1 && encodings == 1)
 }
 
-fn forwarded(headers: &HeaderMap) -> HeaderMap {
-    let named = headers.get_all(CONNECTION).iter();
-    let named: Vec<String> = named
+/// The headers without hop-by-hop headers and those that `Connection` lists.
+fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+    let listed = headers.get_all(CONNECTION).iter();
+    let listed: Vec<String> = listed
         .filter_map(|value| value.to_str().ok())
         .flat_map(|line| line.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    let mut kept = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if !HOP.contains(name) && !named.iter().any(|hop| hop == name.as_str()) {
-            kept.append(name, value.clone());
+        if !HOP_BY_HOP.contains(name) && !listed.iter().any(|hop| hop == name.as_str()) {
+            forwarded.append(name, value.clone());
         }
     }
-    kept
+    forwarded
 }
 
-/// The headers of a request as a backend server gets them.
+/// The headers of a request as sent to a backend server; `left` is the time until its deadline.
 pub(crate) fn request(
     headers: &HeaderMap,
     server: &str,
@@ -178,84 +179,84 @@
     left: Duration,
     last_event: Option<u64>,
 ) -> HeaderMap {
-    let mut kept = forwarded(headers);
+    let mut forwarded = end_to_end(headers);
     if let Some(host) = headers.get(HOST) {
-        kept.insert(HOST, host.clone());
+        forwarded.insert(HOST, host.clone());
     }
-    // A caller may name these in `Connection`; the server needs them all the same.
+    // Forwarded even if the caller lists them in `Connection`.
     for name in [REQUEST_ID, PROGRAM, SESSION, PREV_TURN] {
         if let Some(value) = headers.get(&name) {
-            kept.insert(name, value.clone());
+            forwarded.insert(name, value.clone());
         }
     }
-    for name in OURS {
-        kept.remove(name);
+    for name in RESERVED {
+        forwarded.remove(name);
     }
-    kept.insert(
+    forwarded.insert(
         DEADLINE,
         HeaderValue::from(u64::try_from(left.as_millis()).unwrap_or(u64::MAX)),
     );
     if let Ok(value) = HeaderValue::from_str(server) {
-        kept.insert(EXPECT_INSTANCE, value);
+        forwarded.insert(EXPECT_INSTANCE, value);
     }
     if let Some(Ok(value)) = team.map(HeaderValue::from_str) {
-        kept.insert(TEAM, value);
+        forwarded.insert(TEAM, value);
     }
     if let Some(last) = last_event {
-        kept.insert(LAST_EVENT, HeaderValue::from(last));
+        forwarded.insert(LAST_EVENT_ID, HeaderValue::from(last));
     }
-    kept
+    forwarded
 }
 
-/// The headers of an answer as the caller gets them.
+/// The headers of a response as sent to the caller.
 pub(crate) fn answer(headers: &HeaderMap) -> HeaderMap {
-    forwarded(headers)
+    end_to_end(headers)
 }
 
-/// What an answer says of itself.
+/// The decoded headers of a backend server's response.
 #[derive(Debug, Clone, Default)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each is a header that is there or not"
 )]
 pub(crate) struct Verdict {
-    /// The request that it answers.
+    /// ID of the request that the response belongs to.
     pub(crate) id: Option<String>,
-    /// Whether it carries the server's proof.
+    /// Whether the response has the server's seal.
     pub(crate) sealed: bool,
-    /// Whether the server states that the request did not run.
+    /// Whether the server states that it did not run the request.
     pub(crate) not_run: bool,
-    /// Whether the body was encoded by someone on the way.
+    /// Whether an intermediary has encoded the body.
     pub(crate) encoded: bool,
-    /// How long the server keeps the connection while it is idle.
+    /// Time after which the server closes the connection if it is idle.
     pub(crate) keep: Option<Duration>,
-    /// Whether the server closes the connection after this answer.
+    /// Whether the server closes the connection after this response.
     pub(crate) closes: bool,
-    /// What the server says of its load.
+    /// The load that the server reports.
     pub(crate) load: Option<Load>,
 }
 
 impl Verdict {
     pub(crate) fn of(headers: &HeaderMap) -> Self {
-        let keep = text(headers, &KEEP_ALIVE).unwrap_or_default();
-        let keep = keep.split(',').find_map(|part| {
+        let keep_alive = header_text(headers, &KEEP_ALIVE).unwrap_or_default();
+        let keep = keep_alive.split(',').find_map(|part| {
             let seconds = part.trim().strip_prefix("timeout=")?;
             seconds.parse().ok().map(Duration::from_secs)
         });
-        let closes = text(headers, &CONNECTION).unwrap_or_default();
+        let connection = header_text(headers, &CONNECTION).unwrap_or_default();
         Self {
-            id: text(headers, &REQUEST_ID),
-            sealed: headers.contains_key(SEAL),
+            id: header_text(headers, &REQUEST_ID),
+            sealed: headers.contains_key(SERVER_SEAL),
             not_run: headers.contains_key(NOT_RUN),
             encoded: headers.contains_key(CONTENT_ENCODING),
             keep,
-            closes: closes.to_ascii_lowercase().contains("close"),
-            load: text(headers, &SERVER_LOAD).and_then(|text| load(&text)),
+            closes: connection.to_ascii_lowercase().contains("close"),
+            load: header_text(headers, &SERVER_LOAD).and_then(|text| parse_load(&text)),
         }
     }
 }
 
-fn load(text: &str) -> Option<Load> {
+fn parse_load(text: &str) -> Option<Load> {
     let mut numbers = text.split(',').map(|number| number.trim().parse());
     Some(Load {
         running: numbers.next()?.ok()?,
@@ -263,13 +264,13 @@
     })
 }
 
-/// The header that echoes a request's identity in answers of our own.
+/// The header that repeats the request ID in a response that the gateway generates.
 pub(crate) fn echo(id: &str) -> Option<(HeaderName, HeaderValue)> {
     let value = HeaderValue::from_str(id).ok()?;
     (!id.is_empty()).then_some((REQUEST_ID, value))
 }
 
-/// The header that tells a caller when to come back.
+/// The `Retry-After` header, with fractional seconds.
 pub(crate) fn come_back(after: Duration) -> (HeaderName, HeaderValue) {
     let value = HeaderValue::from_str(&format!("{:.2}", after.as_secs_f64()));
     (RETRY_AFTER, value.unwrap_or(HeaderValue::from_static("1")))
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! What the platform gives: the append-only log and the VM list.
+//! Clients of the platform's services: the append-only log, and the store of keyed records.
 
 pub(crate) mod headers;
 mod http;
@@ -13,7 +13,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A request to the platform failed; whether it took effect is not known.
+/// A failed request to the log service, which may have taken effect nevertheless.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Fault(pub(crate) String);
 
@@ -32,10 +32,10 @@
     pub(crate) data: Bytes,
 }
 
-/// Entries of a stream from one offset on.
+/// Consecutive entries of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Page {
-    /// The oldest offset that the log still keeps.
+    /// The oldest offset that has not been trimmed.
     pub(crate) first: Offset,
     /// The offset that the next append will get.
     pub(crate) next: Offset,
@@ -44,10 +44,10 @@
 
 /// The append-only log service.
 pub(crate) trait Log: Clone + 'static {
-    /// Appends one entry and gives its offset.
+    /// Appends one entry and returns its offset.
     fn append(&self, stream: &str, entry: Bytes) -> impl Future<Output = Result<Offset, Fault>>;
 
-    /// Reads entries from `from` on, waiting up to `wait` for the first.
+    /// Reads entries from offset `from` on, waiting up to `wait` for the first one.
     fn read(
         &self,
         stream: &str,
@@ -56,7 +56,7 @@
     ) -> impl Future<Output = Result<Page, Fault>>;
 }
 
-/// The wire shape of a page.
+/// JSON representation of a [`Page`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct WirePage {
     pub(crate) first: u64,
@@ -64,14 +64,14 @@
     pub(crate) entries: Vec<WireEntry>,
 }
 
-/// The wire shape of an entry; `data` is base64.
+/// JSON representation of an [`Entry`]; `data` is in base64.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct WireEntry {
     pub(crate) offset: u64,
     pub(crate) data: String,
 }
 
-/// The wire shape of an append's reply.
+/// JSON response to an append.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct WireOffset {
     pub(crate) offset: u64,
--- a/src/platform/records.rs
+++ b/src/platform/records.rs
@@ -1,4 +1,4 @@
-//! The records that operators and backend servers write to the store.
+//! The store's topics, and the format of records that operators and backend servers write.
 
 use super::store::Keyed;
 use crate::gateway::directory::{Change, Entry, identity};
@@ -15,35 +15,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The topic whose record [`CONFIG_KEY`] is the configuration.
+/// The operators' topic that holds the configuration under [`CONFIG_KEY`].
 pub(crate) const CONFIG_TOPIC: &str = "keyed.op";
-/// The key of the configuration.
 pub(crate) const CONFIG_KEY: &str = "config";
-/// The topic in which backend servers register themselves, each under its identity.
+/// The topic in which backend servers register, each under its name.
 pub(crate) const DIRECTORY_TOPIC: &str = "keyed.servers";
-/// Our own topic of the allowances of programs.
+/// Token allowances of programs.
 pub(crate) const ALLOWANCE_TOPIC: &str = "keyed.allowance";
-/// Our own topic of allowances whose partition does not take them.
+/// Allowances whose partition of [`ALLOWANCE_TOPIC`] is unavailable.
 pub(crate) const DETOUR_TOPIC: &str = "keyed.detour";
-/// How many topics hold turns of conversations. A bucket is read as a whole when no VM has a turn in
-/// memory; callers wait for that, so that it has to be small.
+/// Number of topics for conversation turns. A bucket is read as a whole while callers wait, so
+/// buckets have to be small.
 pub(crate) const TURN_TOPICS: u64 = 16;
-/// Our own topic of turns whose partition does not take them.
+/// Conversation turns whose own partition is unavailable.
 pub(crate) const DETOURED_TURN_TOPIC: &str = "keyed.turndetour";
-/// Our own topic of copies of the configuration and the directory.
+/// Snapshots of the configuration and the directory.
 pub(crate) const SNAPSHOT_TOPIC: &str = "keyed.snapshot";
-/// Our own topic of the addresses at which VMs first reach each other.
+/// Introductions, from which starting VMs learn each other's addresses.
 pub(crate) const CONTACT_TOPIC: &str = "keyed.contact";
 
-/// One of our own topics of turns of conversations.
+/// The name of one of the [`TURN_TOPICS`] topics for conversation turns.
 pub(crate) fn turn_topic(number: u64) -> String {
     format!("keyed.turns{number}")
 }
 
-/// Servers that a request may run on where a route does not say.
-const ATTEMPTS: u32 = 2;
-/// Tokens of one event where the engine does not say.
-const TOKENS_PER_EVENT: u64 = 1;
+const DEFAULT_ATTEMPTS: u32 = 2;
+const DEFAULT_TOKENS_PER_EVENT: u64 = 1;
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -54,7 +51,7 @@
     services: Vec<ServiceBody>,
     #[serde(default)]
     limits: LimitsBody,
-    /// Absent where requests need no key.
+    /// Absent if requests need no API key.
     tenants: Option<Vec<TeamBody>>,
 }
 
@@ -71,19 +68,18 @@
     attempts: Option<u32>,
     #[serde(default)]
     priority: u8,
-    /// The only service; absent where `split` names several.
+    /// The only target; ignored if `split` is given.
     service: Option<String>,
     #[serde(default)]
     split: Vec<SplitBody>,
     #[serde(default)]
     can_resume: bool,
-    /// Whether callers send only what is new in a turn, and the system keeps what was said before.
+    /// Whether the gateway stores conversation turns, so that callers send only the new one.
     #[serde(default)]
     retain: bool,
-    /// Seconds for which a stopped program may still come back, and for which a turn is kept. It is
-    /// given where no turns are kept, too.
+    /// Seconds for which turns and idle programs are kept; may be given without `retain`.
     retain_s: Option<f64>,
-    /// Whether its requests need no key.
+    /// Whether requests need no API key.
     #[serde(default)]
     public: bool,
 }
@@ -109,25 +105,25 @@
     slots: usize,
     #[serde(default)]
     kv_cap_tokens: u64,
-    /// Tokens that one event of a stream stands for; nothing to do with chunks of a prompt.
+    /// Tokens per event of a response stream; unrelated to the chunks of a prompt.
     chunk_tokens: Option<u64>,
 }
 
-/// A team. It derives no `Debug`, since it holds keys.
+/// A team. Does not derive `Debug`, since it contains API keys.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct TeamBody {
     name: String,
     #[serde(default)]
     api_keys: Vec<String>,
-    /// In place of keys, in our own copies of a configuration.
+    /// Replace `api_keys` in copies that VMs make of a configuration.
     #[serde(default)]
     key_fingerprints: Vec<String>,
     priority: Option<u8>,
-    /// Requests a second; zero where there is no limit.
+    /// Requests per second; zero for no limit.
     #[serde(default)]
     rate_per_s: f64,
-    /// Requests beyond that, not a second.
+    /// Number of requests that may exceed the rate in a burst.
     #[serde(default)]
     burst: f64,
 }
@@ -148,10 +144,10 @@
     zone: String,
     slots: NonZeroUsize,
     state: StateBody,
-    /// The milliseconds since the Unix epoch of the server's start; some versions do not say.
+    /// Start time in milliseconds since the Unix epoch; zero if the server does not send it.
     #[serde(default)]
     born: u64,
-    // The rest is not used. An entry without it is not a server's.
+    // Unused, but required: a record without these fields does not come from a server.
     #[serde(rename = "coldLeftMs")]
     _cold_left_ms: f64,
     #[serde(rename = "version")]
@@ -167,8 +163,8 @@
     Draining,
 }
 
-fn millis(number: f64) -> Duration {
-    Duration::try_from_secs_f64(number / 1000.0).unwrap_or_default()
+fn duration_from_millis(millis: f64) -> Duration {
+    Duration::try_from_secs_f64(millis / 1000.0).unwrap_or_default()
 }
 
 impl RouteBody {
@@ -187,14 +183,16 @@
             name: self.name,
             host: self.host,
             prefix: self.path_prefix,
-            timeout: millis(self.timeout_ms),
-            objective: millis(self.slo_ms),
-            attempts: self.attempts.unwrap_or(ATTEMPTS).max(1),
+            timeout: duration_from_millis(self.timeout_ms),
+            objective: duration_from_millis(self.slo_ms),
+            attempts: self.attempts.unwrap_or(DEFAULT_ATTEMPTS).max(1),
             rank: self.priority,
             targets,
             resumable: self.can_resume,
             keeps_turns: self.retain,
-            program_idle: self.retain_s.map(|seconds| millis(seconds * 1000.0)),
+            program_idle: self
+                .retain_s
+                .map(|seconds| duration_from_millis(seconds * 1000.0)),
             public: self.public,
         })
     }
@@ -205,7 +203,10 @@
         let engine = self.engine.map(|engine| Engine {
             slots: engine.slots,
             memory_tokens: engine.kv_cap_tokens,
-            tokens_per_event: engine.chunk_tokens.unwrap_or(TOKENS_PER_EVENT).max(1),
+            tokens_per_event: engine
+                .chunk_tokens
+                .unwrap_or(DEFAULT_TOKENS_PER_EVENT)
+                .max(1),
         });
         let service = Service {
             max_connections: self.max_conns,
@@ -217,15 +218,15 @@
 
 impl TeamBody {
     fn decode(self) -> Result<(Team, Vec<Fingerprint>), String> {
-        // It goes to servers in a header.
+        // The name is sent to backend servers in a header.
         HeaderValue::from_str(&self.name).map_err(|error| error.to_string())?;
-        let mut keys = self
+        let mut fingerprints = self
             .key_fingerprints
             .iter()
             .map(|text| text.parse())
             .collect::<Result<Vec<_>, _>>()?;
-        let plain = self.api_keys.iter();
-        keys.extend(plain.map(|key| Fingerprint::of(key.as_bytes())));
+        let keys = self.api_keys.iter();
+        fingerprints.extend(keys.map(|key| Fingerprint::of(key.as_bytes())));
         let limit = (self.rate_per_s > 0.0).then_some(Limit {
             per_second: self.rate_per_s,
             burst: self.burst.max(0.0),
@@ -235,22 +236,24 @@
             rank: self.priority,
             limit,
         };
-        Ok((team, keys))
+        Ok((team, fingerprints))
     }
 }
 
 impl LimitsBody {
     fn decode(self) -> Sizes {
-        let given = Sizes::default();
+        let default = Sizes::default();
         Sizes {
-            head_bytes: self.max_header_bytes.unwrap_or(given.head_bytes),
-            body_bytes: self.max_body_bytes.unwrap_or(given.body_bytes),
-            idle: self.idle_timeout_ms.map_or(given.idle, millis),
+            head_bytes: self.max_header_bytes.unwrap_or(default.head_bytes),
+            body_bytes: self.max_body_bytes.unwrap_or(default.body_bytes),
+            idle: self
+                .idle_timeout_ms
+                .map_or(default.idle, duration_from_millis),
         }
     }
 }
 
-/// Decodes the configuration.
+/// Decodes the configuration record.
 pub(crate) fn table(value: &[u8]) -> Result<Table, String> {
     let body: ConfigBody = serde_json::from_slice(value).map_err(|error| error.to_string())?;
     let routes = body.routes.into_iter().map(RouteBody::decode);
@@ -264,10 +267,10 @@
     Ok(table)
 }
 
-/// The configuration with the fingerprints of keys in place of the keys.
+/// Replaces API keys in an encoded configuration by their fingerprints.
 ///
-/// VMs give each other copies over plain connections, and leave some at the store: a key that stood there could be
-/// read by whoever reaches a VM. It decodes to the same [`Table`].
+/// VMs copy the configuration to each other over unencrypted connections and to the store, where
+/// keys must not appear. The result decodes to the same [`Table`].
 pub(crate) fn without_keys(value: &Bytes) -> serde_json::Result<Bytes> {
     let mut body: Value = serde_json::from_slice(value)?;
     let Some(teams) = body.get_mut("tenants").and_then(Value::as_array_mut) else {
@@ -276,22 +279,22 @@
     for team in teams.iter_mut().filter_map(Value::as_object_mut) {
         let keys = team.remove("apiKeys").unwrap_or_default();
         let keys = keys.as_array().into_iter().flatten();
-        let prints = keys.filter_map(Value::as_str).map(|key| {
-            let print = Fingerprint::of(key.as_bytes());
-            Value::String(print.to_string())
+        let fingerprints = keys.filter_map(Value::as_str).map(|key| {
+            let fingerprint = Fingerprint::of(key.as_bytes());
+            Value::String(fingerprint.to_string())
         });
-        let prints: Vec<Value> = prints.collect();
-        let known = team
+        let fingerprints: Vec<Value> = fingerprints.collect();
+        let existing = team
             .entry("keyFingerprints")
             .or_insert_with(|| Value::Array(Vec::new()));
-        if let Some(known) = known.as_array_mut() {
-            known.extend(prints);
+        if let Some(existing) = existing.as_array_mut() {
+            existing.extend(fingerprints);
         }
     }
     Ok(Bytes::from(body.to_string()))
 }
 
-/// Decodes one record of the directory.
+/// Decodes a directory record; a tombstone removes the server.
 pub(crate) fn server(record: &Keyed) -> Result<Change, String> {
     let name = record.key.as_str().into();
     let Some(value) = &record.value else {
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's store: partitioned logs, some of which keep the newest record of
+//! Client of the platform's store: partitioned logs, some of them compacted to the latest record of
 //! each key.
 
 use crate::id::Offset;
@@ -15,33 +15,29 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// What a call may take beyond the time for which the store was asked to wait. The store answers
-/// within 4 ms on a good day; a connection that has gone silent shows only by this timeout.
+/// Timeout of a call, on top of the time for which the store is asked to wait.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time after which a call whose answer is late is made again on another connection, doubled for each
-/// further one. The store answers in 8 ms on a good day; one that takes 240 ms gets three calls for one.
-const LATE: Duration = Duration::from_millis(60);
-/// Calls for one append that may be under way at a time.
-const CALLS: u32 = 3;
-/// How long a new connection may take: one lost opening packet costs a second anyway.
+/// Delay before the first hedged call of an append; doubles for each further one.
+const HEDGE_DELAY: Duration = Duration::from_millis(60);
+const MAX_HEDGED_CALLS: u32 = 3;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a call to the store did not do what was asked.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// The store refused it: nothing was done.
+    /// The store rejected the call with this HTTP status; it had no effect.
     Refused(u16),
-    /// No answer came: it may have been done, and may still be done seconds later.
+    /// No response: the call may have taken effect, or may still do so seconds later.
     Unknown(String),
-    /// The records asked for are gone; the oldest kept one has this offset.
+    /// The requested records were deleted; the oldest remaining one has this offset.
     Trimmed(Offset),
-    /// A writer with a higher epoch has taken the partition over.
+    /// A writer with a higher epoch has taken over the partition.
     Fenced,
-    /// The store expects another sequence number of this writer.
+    /// The store expects this sequence number from the writer instead.
     Sequence(u64),
-    /// Somebody has written to the partition since it was read: nothing was done.
+    /// The partition has newer records than [`Writer::as_of`]; nothing was written.
     Moved,
-    /// The answer can't be understood.
+    /// The response could not be decoded.
     Malformed(String),
 }
 
@@ -49,19 +45,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Refused(status) => write!(f, "refused with status {status}"),
-            Self::Unknown(reason) => write!(f, "no answer: {reason}"),
-            Self::Trimmed(first) => write!(f, "records before {first} are gone"),
-            Self::Fenced => f.write_str("fenced by a newer writer"),
-            Self::Moved => f.write_str("written to by another since it was read"),
-            Self::Sequence(expected) => write!(f, "sequence {expected} is expected"),
-            Self::Malformed(reason) => write!(f, "malformed answer: {reason}"),
+            Self::Unknown(reason) => write!(f, "no response: {reason}"),
+            Self::Trimmed(first) => write!(f, "records before offset {first} were deleted"),
+            Self::Fenced => f.write_str("fenced by a writer with a higher epoch"),
+            Self::Moved => f.write_str("the partition was written to since it was last read"),
+            Self::Sequence(expected) => write!(f, "the store expects sequence number {expected}"),
+            Self::Malformed(reason) => write!(f, "malformed response: {reason}"),
         }
     }
 }
 
 impl std::error::Error for Fault {}
 
-/// A record of a topic that keeps the newest record of each key; no value drops the key.
+/// A record of a compacted topic; without a value it is a tombstone that deletes the key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Keyed {
     pub(crate) key: String,
@@ -78,9 +74,9 @@
     }
 
     fn decode(record: &Bytes) -> Option<Self> {
-        let size = usize::from(*record.first()?);
-        let key = record.get(1..=size)?;
-        let value = record.slice(1 + size..);
+        let key_length = usize::from(*record.first()?);
+        let key = record.get(1..=key_length)?;
+        let value = record.slice(1 + key_length..);
         Some(Self {
             key: String::from_utf8(key.to_vec()).ok()?,
             value: (!value.is_empty()).then_some(value),
@@ -88,32 +84,32 @@
     }
 }
 
-/// The newest record of each key, as far as one read goes.
+/// The latest record of each key of a partition.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Newest {
     pub(crate) records: Vec<Keyed>,
-    /// The offset that the next record will get, as of the first page.
+    /// The end of the partition when the first page was read.
     pub(crate) end: Offset,
 }
 
-/// Records of one partition from an offset on.
+/// Consecutive records of one partition.
 #[derive(Debug, Clone)]
 pub(crate) struct Page {
     /// The offset after the last record of this page.
     pub(crate) next: Offset,
     /// The offset after the last record of the partition.
     pub(crate) end: Offset,
-    /// Records, and the offset after each.
+    /// Records, each with the offset after it.
     pub(crate) records: Vec<(Offset, Keyed)>,
 }
 
-/// Who writes to a partition; a higher epoch shuts out the lower ones.
+/// Identifies the writer of an append; the store fences writers with a lower epoch.
 #[derive(Debug, Clone)]
 pub(crate) struct Writer {
     pub(crate) name: String,
     pub(crate) epoch: u64,
     pub(crate) sequence: u64,
-    /// Where the partition has to end for anything to be written; none where that does not matter.
+    /// End that the partition must have for the append to succeed; `None` for any.
     pub(crate) as_of: Option<Offset>,
 }
 
@@ -134,52 +130,55 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Refusal {
-    /// For a write that was shut out: `fenced` or `seq`.
+    /// Reason why an append was rejected: `fenced` or `seq`.
     why: String,
-    /// The oldest kept offset, where older ones were asked for.
+    /// The oldest remaining offset, if a read asked for an older one.
     first: u64,
-    /// The expected sequence number, where the one sent does not follow.
+    /// The expected sequence number, if the call sent another one; sent as `seq` or `expected`.
     seq: Option<u64>,
     expected: Option<u64>,
 }
 
-/// A client of the store.
+/// Client of the store, with its own connection pool.
 #[derive(Debug, Clone)]
 pub(crate) struct Store {
     client: reqwest::Client,
-    base: String,
+    base_url: String,
 }
 
 impl Store {
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
-            client: client(),
-            base: format!("http://{address}"),
+            client: new_client(),
+            base_url: format!("http://{address}"),
         }
     }
 
-    /// Drops the kept connections: one that went silent would take the next call with it.
+    /// Drops the pooled connections, since an unresponsive one would also stall the next call.
     pub(crate) fn reconnect(&mut self) {
-        self.client = client();
+        self.client = new_client();
     }
 
-    /// The newest record of each key of a partition.
-    pub(crate) async fn newest(&self, topic: &str, part: u64) -> Result<Newest, Fault> {
-        let mut newest: Option<Newest> = None;
+    /// Reads the latest record of each key of a partition.
+    pub(crate) async fn newest(&self, topic: &str, partition: u64) -> Result<Newest, Fault> {
+        let mut latest: Option<Newest> = None;
         let mut after = String::new();
         loop {
-            let mut url = format!("{}/log-newest?topic={topic}&part={part}", self.base);
+            let mut url = format!(
+                "{}/log-newest?topic={topic}&part={partition}",
+                self.base_url
+            );
             if !after.is_empty() {
-                // Keys of other writers may hold any character.
+                // Keys of other writers may contain any character.
                 url = Url::parse_with_params(&url, [("after", &after)])
                     .map_err(|error| Fault::Malformed(error.to_string()))?
                     .into();
             }
-            let reply = checked(self.client.get(url).timeout(CALL_TIMEOUT).send().await).await?;
-            let bytes = reply.bytes().await.map_err(|error| unknown(&error))?;
+            let response = check(self.client.get(url).timeout(CALL_TIMEOUT).send().await).await?;
+            let bytes = response.bytes().await.map_err(|error| unknown(&error))?;
             let body: NewestBody = serde_json::from_slice(&bytes)
                 .map_err(|error| Fault::Malformed(error.to_string()))?;
-            let all = newest.get_or_insert_with(|| Newest {
+            let newest = latest.get_or_insert_with(|| Newest {
                 records: Vec::new(),
                 end: Offset(body.end),
             });
@@ -191,82 +190,82 @@
                 let value = STANDARD
                     .decode(item.value)
                     .map_err(|error| Fault::Malformed(error.to_string()))?;
-                all.records.push(Keyed {
+                newest.records.push(Keyed {
                     key: item.key,
                     value: (!value.is_empty()).then(|| value.into()),
                 });
             }
             if !body.truncated || after.is_empty() {
-                return Ok(newest.unwrap_or_default());
+                return Ok(latest.unwrap_or_default());
             }
         }
     }
 
-    /// Reads records from `from` on, waiting up to `wait` for the first.
+    /// Reads records from offset `from` on, waiting up to `wait` for the first one.
     pub(crate) async fn read(
         &self,
         topic: &str,
-        part: u64,
+        partition: u64,
         from: Offset,
         wait: Duration,
     ) -> Result<Page, Fault> {
         let wait_ms = wait.as_millis();
         let url = format!(
-            "{}/log-read?topic={topic}&part={part}&from={from}&waitMs={wait_ms}",
-            self.base
+            "{}/log-read?topic={topic}&part={partition}&from={from}&waitMs={wait_ms}",
+            self.base_url
         );
-        let call = self.client.get(url).timeout(wait + CALL_TIMEOUT);
-        let reply = checked(call.send().await).await?;
-        let body = reply.bytes().await.map_err(|error| unknown(&error))?;
-        page(from, &body).ok_or_else(|| Fault::Malformed("cut short".to_owned()))
+        let request = self.client.get(url).timeout(wait + CALL_TIMEOUT);
+        let response = check(request.send().await).await?;
+        let body = response.bytes().await.map_err(|error| unknown(&error))?;
+        decode_page(from, &body).ok_or_else(|| Fault::Malformed("truncated body".to_owned()))
     }
 
-    /// Appends records as [`Store::append`] does, and sends them again beside the first time where the
-    /// answer is late. The records have to be such that nothing is wrong where they are written twice:
-    /// a writer's sequence numbers see to that, or keys that always have the same value.
-    ///
-    /// A lost answer held up a writer for 900 ms, and the turns that waited for it; with a third of all
-    /// answers lost they wait about 80 ms now.
+    /// Appends records as [`Store::append`] does, but sends hedged calls on new connections while no
+    /// response arrives. The append must be idempotent: use sequence numbers, or keys whose value
+    /// never changes.
     pub(crate) async fn append_surely(
         &self,
         topic: &str,
-        part: u64,
+        partition: u64,
         records: &[Keyed],
         writer: Option<&Writer>,
     ) -> Result<(), Fault> {
         let mut client = self.clone();
         let mut calls = FuturesUnordered::new();
-        let mut late_after = LATE;
-        for sent in 1..=CALLS {
+        let mut hedge_delay = HEDGE_DELAY;
+        for sent in 1..=MAX_HEDGED_CALLS {
             let store = client.clone();
-            calls.push(async move { store.append(topic, part, records, writer).await });
-            let mut late = pin!(sleep(late_after));
+            calls.push(async move { store.append(topic, partition, records, writer).await });
+            let mut hedge_timer = pin!(sleep(hedge_delay));
             loop {
-                let done = tokio::select! {
-                    Some(done) = calls.next() => done,
-                    () = &mut late, if sent < CALLS => break,
+                let result = tokio::select! {
+                    Some(result) = calls.next() => result,
+                    () = &mut hedge_timer, if sent < MAX_HEDGED_CALLS => break,
                 };
-                match done {
+                match result {
                     Err(Fault::Unknown(_)) if !calls.is_empty() => {}
-                    done => return done,
+                    result => return result,
                 }
             }
-            late_after *= 2;
-            // The connection may have gone silent, and those beside it.
+            hedge_delay *= 2;
+            // Pooled connections may be unresponsive.
             client.reconnect();
         }
-        Err(Fault::Unknown("no answer".to_owned()))
+        Err(Fault::Unknown("all calls failed".to_owned()))
     }
 
-    /// Appends records, all or none; an empty list only sets the epoch of the writer.
+    /// Appends records atomically; an empty list only sets the epoch of the writer.
     pub(crate) async fn append(
         &self,
         topic: &str,
-        part: u64,
+        partition: u64,
         records: &[Keyed],
         writer: Option<&Writer>,
     ) -> Result<(), Fault> {
-        let mut url = format!("{}/log-append?topic={topic}&part={part}", self.base);
+        let mut url = format!(
+            "{}/log-append?topic={topic}&part={partition}",
+            self.base_url
+        );
         if let Some(Writer {
             name,
             epoch,
@@ -283,16 +282,16 @@
         for record in records {
             record.encode(&mut body);
         }
-        let call = self
+        let request = self
             .client
             .post(url)
             .timeout(CALL_TIMEOUT)
             .body(body.freeze());
-        checked(call.send().await).await.map(drop)
+        check(request.send().await).await.map(drop)
     }
 }
 
-fn client() -> reqwest::Client {
+fn new_client() -> reqwest::Client {
     reqwest::Client::builder()
         .retry(reqwest::retry::never())
         .connect_timeout(CONNECT_TIMEOUT)
@@ -307,12 +306,12 @@
     Fault::Unknown(error.to_string())
 }
 
-/// The reply, if the store did what was asked.
-async fn checked(reply: Result<Response, reqwest::Error>) -> Result<Response, Fault> {
-    let reply = reply.map_err(|error| unknown(&error))?;
-    let status = reply.status();
+/// Returns a successful response, and converts any other outcome to an error.
+async fn check(response: Result<Response, reqwest::Error>) -> Result<Response, Fault> {
+    let response = response.map_err(|error| unknown(&error))?;
+    let status = response.status();
     if status.is_success() {
-        return Ok(reply);
+        return Ok(response);
     }
     if status == StatusCode::PRECONDITION_FAILED {
         return Err(Fault::Moved);
@@ -320,7 +319,7 @@
     if status != StatusCode::CONFLICT && status != StatusCode::GONE {
         return Err(Fault::Refused(status.as_u16()));
     }
-    let bytes = reply.bytes().await.map_err(|error| unknown(&error))?;
+    let bytes = response.bytes().await.map_err(|error| unknown(&error))?;
     let refusal: Refusal =
         serde_json::from_slice(&bytes).map_err(|error| Fault::Malformed(error.to_string()))?;
     if status == StatusCode::GONE {
@@ -332,8 +331,9 @@
     })
 }
 
-/// Decodes a read: the end and the first kept offset, then records behind their lengths.
-fn page(from: Offset, body: &Bytes) -> Option<Page> {
+/// Decodes a page: the end of the partition and the oldest remaining offset, then length-prefixed
+/// records.
+fn decode_page(from: Offset, body: &Bytes) -> Option<Page> {
     let mut rest = body.slice(body.len().min(16)..);
     let end = u64::from_be_bytes(body.get(..8)?.try_into().ok()?);
     body.get(..16)?;
@@ -345,7 +345,7 @@
         let record = rest.slice(4..4 + size);
         rest = rest.slice(4 + size..);
         next += 1;
-        // A record that has no key is nobody's; its offset still counts.
+        // A malformed record is skipped, but counts as an offset.
         records.extend(Keyed::decode(&record).map(|record| (Offset(next), record)));
     }
     Some(Page {
