--- a/src/command/config.rs
+++ b/src/command/config.rs
@@ -6,7 +6,7 @@
 use crate::config::{Book, Change, Ruling, SCHEMA, Verdict};
 use crate::id::Offset;
 use crate::journal::CONFIG;
-use crate::platform::{Fault, Http, Log};
+use crate::platform::{Error, Log, LogClient};
 use bytes::Bytes;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeSet;
@@ -43,7 +43,7 @@
 
 /// Prints the configuration in force, with the offset to base a change on.
 pub(crate) fn show(log: &str, json: bool) -> Result<Exit, Failure> {
-    let book = runtime()?.block_on(read(&Http::new(log), None))?;
+    let book = runtime()?.block_on(read(&LogClient::new(log), None))?;
     let values = in_force(&book)?;
     if json {
         print_json(&json!({ "applied": book.applied(), "values": values }))?;
@@ -58,7 +58,7 @@
 
 /// Prints the verdict on each change, oldest first.
 pub(crate) fn history(log: &str, json: bool) -> Result<Exit, Failure> {
-    let book = runtime()?.block_on(read(&Http::new(log), None))?;
+    let book = runtime()?.block_on(read(&LogClient::new(log), None))?;
     if json {
         print_json(&book.history())?;
     } else {
@@ -79,7 +79,7 @@
 }
 
 async fn publish(apply: &Apply, wanted: &Map<String, Value>) -> Result<Exit, Failure> {
-    let log = Http::new(&apply.log);
+    let log = LogClient::new(&apply.log);
     // What the operator looked at: a key that was changed since makes the change refused.
     let seen = read(&log, apply.base).await?;
     let mut ours = BTreeSet::new();
@@ -102,10 +102,10 @@
 }
 
 /// Appends a change; its id makes it safe to append again when the reply was lost.
-async fn append(log: &Http, change: &Change) -> Result<Offset, Failure> {
+async fn append(log: &LogClient, change: &Change) -> Result<Offset, Failure> {
     let entry = serde_json::to_vec(change).map_err(|error| malformed(&error))?;
     let entry = Bytes::from(entry);
-    let mut fault = Fault(String::new());
+    let mut fault = Error(String::new());
     for _ in 0..ATTEMPTS {
         match log.append(CONFIG, entry.clone()).await {
             Ok(offset) => return Ok(offset),
@@ -169,13 +169,13 @@
     Failure::refused(Code::Internal, error.to_string())
 }
 
-fn unsure(key: &str, fault: &Fault) -> Failure {
+fn unsure(key: &str, fault: &Error) -> Failure {
     let message = format!("{key}: {fault}; see `config history` for whether it was taken");
     Failure::refused(Code::LogUnavailable, message).ran(crate::code::Ran::Unknown)
 }
 
 /// Folds the stream up to its end, or up to `until`.
-async fn read(log: &Http, until: Option<Offset>) -> Result<Book, Failure> {
+async fn read(log: &LogClient, until: Option<Offset>) -> Result<Book, Failure> {
     let mut book = Book::default();
     let mut next = Offset(0);
     loop {
--- a/src/gateway/conversation/lane.rs
+++ b/src/gateway/conversation/lane.rs
@@ -8,7 +8,7 @@
 use crate::clock;
 use crate::conversation::{Bucket, Id, Outbox, Turn};
 use crate::platform::records::turn_topic;
-use crate::platform::store::{Fault, Keyed};
+use crate::platform::store::{Error, Record};
 use crate::telemetry::event;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -109,13 +109,13 @@
         self.probing.set(false);
     }
 
-    async fn append(&self, bucket: Bucket, batch: &[Rc<Turn>]) -> Result<(), Fault> {
-        let records: Vec<Keyed> = batch.iter().map(|turn| record(turn)).collect();
+    async fn append(&self, bucket: Bucket, batch: &[Rc<Turn>]) -> Result<(), Error> {
+        let records: Vec<Record> = batch.iter().map(|turn| record(turn)).collect();
         let topic = turn_topic(self.layout.topic(bucket));
         let part = self.layout.partition(bucket);
         let store = self.store.borrow().clone();
-        let done = store.append_surely(&topic, part, &records, None).await;
-        if matches!(done, Err(Fault::Unknown(_))) {
+        let done = store.append_hedged(&topic, part, &records, None).await;
+        if matches!(done, Err(Error::OutcomeUnknown(_))) {
             self.store.borrow_mut().reconnect();
         }
         done
@@ -123,8 +123,8 @@
 }
 
 /// The record of a turn.
-pub(super) fn record(turn: &Turn) -> Keyed {
-    Keyed {
+pub(super) fn record(turn: &Turn) -> Record {
+    Record {
         key: turn.id.to_string(),
         value: Some(turn.encode()),
     }
--- a/src/gateway/conversation/load.rs
+++ b/src/gateway/conversation/load.rs
@@ -6,8 +6,8 @@
 use super::{Conversations, Gateway};
 use crate::conversation::{Bucket, Id, Turn};
 use crate::gateway::peers::Reply;
-use crate::platform::records::{DETOURED_TURN_TOPIC, turn_topic};
-use crate::platform::store::{Fault, Keyed, Newest};
+use crate::platform::records::{FALLBACK_TURN_TOPIC, turn_topic};
+use crate::platform::store::{Error, Latest, Record};
 use crate::telemetry::event;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -24,7 +24,7 @@
 const READS: usize = 2;
 
 /// The last read of a bucket: when it began, and what came of it.
-type Read = Option<(Instant, Result<(), Fault>)>;
+type Read = Option<(Instant, Result<(), Error>)>;
 
 /// The last read of each bucket; locked while the bucket is being read.
 #[derive(Debug, Default)]
@@ -34,7 +34,7 @@
 
 impl Conversations {
     /// Takes a bucket into memory as the store has it now, or had it after this call began.
-    async fn load(&self, bucket: Bucket) -> Result<(), Fault> {
+    async fn load(&self, bucket: Bucket) -> Result<(), Error> {
         let asked = Instant::now();
         let load = {
             let mut buckets = self.loads.buckets.borrow_mut();
@@ -51,7 +51,7 @@
         done
     }
 
-    async fn load_now(&self, began: Instant, bucket: Bucket) -> Result<(), Fault> {
+    async fn load_now(&self, began: Instant, bucket: Bucket) -> Result<(), Error> {
         let turns = self.take_in(began, bucket, &self.read(bucket).await?);
         event!(
             info,
@@ -70,9 +70,9 @@
     }
 
     /// Takes those turns of a bucket into memory that went through other partitions than their own.
-    async fn load_detours(&self, bucket: Bucket) -> Result<(), Fault> {
+    async fn load_detours(&self, bucket: Bucket) -> Result<(), Error> {
         let others = self.layout.others(bucket).into_iter();
-        let others = others.map(|part| self.newest(DETOURED_TURN_TOPIC, part));
+        let others = others.map(|part| self.newest(FALLBACK_TURN_TOPIC, part));
         // A partition that is away now may have been there when a turn went through it.
         for other in futures::future::join_all(others).await {
             let mut records = other?.records;
@@ -83,7 +83,7 @@
     }
 
     /// Looks for a turn at the store, and takes it into memory with all of its bucket.
-    pub(super) async fn seek(&self, id: &Id) -> Result<bool, Fault> {
+    pub(super) async fn seek(&self, id: &Id) -> Result<bool, Error> {
         let bucket = self.layout.bucket(id);
         let own = self.load(bucket).await;
         if self.find(id).is_some() {
@@ -98,7 +98,7 @@
     }
 
     /// Takes records into memory; gives how many were turns.
-    fn take_in(&self, now: Instant, bucket: Bucket, records: &[Keyed]) -> usize {
+    fn take_in(&self, now: Instant, bucket: Bucket, records: &[Record]) -> usize {
         let mut turns = 0;
         for record in records {
             let Some(turn) = record.value.as_deref().and_then(Turn::decode) else {
@@ -111,30 +111,30 @@
         turns
     }
 
-    async fn read(&self, bucket: Bucket) -> Result<Vec<Keyed>, Fault> {
+    async fn read(&self, bucket: Bucket) -> Result<Vec<Record>, Error> {
         let topic = turn_topic(self.layout.topic(bucket));
         let newest = self.newest(&topic, self.layout.partition(bucket));
         newest.await.map(|newest| newest.records)
     }
 
-    fn is_of(&self, bucket: Bucket, record: &Keyed) -> bool {
+    fn is_of(&self, bucket: Bucket, record: &Record) -> bool {
         let id = record.key.parse::<Id>();
         id.is_ok_and(|id| self.layout.bucket(&id) == bucket)
     }
 
-    async fn newest(&self, topic: &str, part: u64) -> Result<Newest, Fault> {
-        let mut fault = Fault::Unknown("no read was made".to_owned());
+    async fn newest(&self, topic: &str, part: u64) -> Result<Latest, Error> {
+        let mut fault = Error::OutcomeUnknown("no read was made".to_owned());
         // Callers need not find out that the store is away.
         let reads = if self.is_away() { 1 } else { READS };
         for _ in 0..reads {
             let store = self.store.borrow().clone();
-            match timeout(READ, store.newest(topic, part)).await {
+            match timeout(READ, store.read_latest(topic, part)).await {
                 Ok(Ok(newest)) => return Ok(newest),
                 // Nothing was ever written there.
-                Ok(Err(Fault::Refused(404))) => return Ok(Newest::default()),
-                Ok(Err(error @ Fault::Refused(_))) => return Err(error),
+                Ok(Err(Error::Refused(404))) => return Ok(Latest::default()),
+                Ok(Err(error @ Error::Refused(_))) => return Err(error),
                 Ok(Err(error)) => fault = error,
-                Err(_) => fault = Fault::Unknown("the read took too long".to_owned()),
+                Err(_) => fault = Error::OutcomeUnknown("the read took too long".to_owned()),
             }
             self.store.borrow_mut().reconnect();
         }
--- a/src/gateway/conversation/record.rs
+++ b/src/gateway/conversation/record.rs
@@ -6,7 +6,7 @@
 use crate::conversation::{Bucket, Id, Transcript, Turn};
 use crate::gateway::peers::Note;
 use crate::gateway::request::job::Job;
-use crate::platform::records::DETOURED_TURN_TOPIC;
+use crate::platform::records::FALLBACK_TURN_TOPIC;
 use crate::telemetry::event;
 use bytes::Bytes;
 use futures::future::select_ok;
@@ -58,12 +58,12 @@
     /// An answer that ended before the store has its turn would promise what the loss of all VMs can break.
     /// While the store is away the end waits, for as long as the caller does; the events have long gone out.
     pub(crate) async fn keep_turn(self: &Rc<Self>, job: &Job, said: Transcript) -> bool {
-        let Ok(id) = job.meta.turn.parse::<Id>() else {
+        let Ok(id) = job.meta.turn_name.parse::<Id>() else {
             // Nobody can name it.
             return true;
         };
         let began = Instant::now();
-        let kept_for = job.route.program_idle.unwrap_or(KEPT);
+        let kept_for = job.route.program_idle_timeout.unwrap_or(KEPT);
         // Copied, since a part of a buffer would hold the whole buffer.
         let turn = Rc::new(Turn {
             id,
@@ -156,7 +156,7 @@
         let store = all.store.borrow().clone();
         let writes = all.layout.others(bucket).into_iter().map(|part| {
             let (store, record) = (&store, &record);
-            Box::pin(async move { store.append(DETOURED_TURN_TOPIC, part, record, None).await })
+            Box::pin(async move { store.append(FALLBACK_TURN_TOPIC, part, record, None).await })
         });
         let writes: Vec<_> = writes.collect();
         !writes.is_empty() && select_ok(writes).await.is_ok()
--- a/src/gateway/conversation/sweep.rs
+++ b/src/gateway/conversation/sweep.rs
@@ -3,8 +3,8 @@
 use super::{Conversations, Gateway, SKEW, millis};
 use crate::clock;
 use crate::conversation::{Bucket, Turn};
-use crate::platform::records::{DETOURED_TURN_TOPIC, turn_topic};
-use crate::platform::store::Keyed;
+use crate::platform::records::{FALLBACK_TURN_TOPIC, turn_topic};
+use crate::platform::store::Record;
 use crate::telemetry::event;
 use std::rc::Rc;
 use std::time::Duration;
@@ -49,7 +49,7 @@
         }
         if self.is_first_of("turns/detours") {
             for part in 0..all.layout.partitions {
-                all.sweep(DETOURED_TURN_TOPIC, part).await;
+                all.sweep(FALLBACK_TURN_TOPIC, part).await;
             }
         }
     }
@@ -65,11 +65,11 @@
 impl Conversations {
     async fn sweep(&self, topic: &str, part: u64) {
         let store = self.store.borrow().clone();
-        let Ok(newest) = store.newest(topic, part).await else {
+        let Ok(newest) = store.read_latest(topic, part).await else {
             // The next sweep finds it.
             return;
         };
-        let over: Vec<Keyed> = newest.records.iter().filter_map(is_over).collect();
+        let over: Vec<Record> = newest.records.iter().filter_map(is_over).collect();
         if over.is_empty() {
             return;
         }
@@ -91,11 +91,11 @@
 }
 
 /// What drops a record, where nobody can come back to it. One that is no turn is nobody's.
-fn is_over(record: &Keyed) -> Option<Keyed> {
+fn is_over(record: &Record) -> Option<Record> {
     let turn = record.value.as_deref().and_then(Turn::decode);
     let now_ms = clock::wall_ms();
     let kept = turn.is_some_and(|turn| turn.until_ms + millis(SKEW) > now_ms);
-    (!kept).then(|| Keyed {
+    (!kept).then(|| Record {
         key: record.key.clone(),
         value: None,
     })
--- a/src/gateway/front/accept.rs
+++ b/src/gateway/front/accept.rs
@@ -45,13 +45,13 @@
         .borrow()
         .table
         .as_ref()
-        .map(|table| table.sizes);
+        .map(|table| table.request_limits);
     let sizes = sizes.unwrap_or_default();
     let service = service_fn(move |request| request::handle(Rc::clone(&gateway), request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(sizes.idle)
-        .max_buf_size(sizes.head_bytes.max(8192))
+        .header_read_timeout(sizes.idle_timeout)
+        .max_buf_size(sizes.max_head_bytes.max(8192))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     // An error is the caller's leaving, or malformed input, which has been answered.
--- a/src/gateway/front/housekeeping.rs
+++ b/src/gateway/front/housekeeping.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::tokens::handover::Reason;
 use crate::gateway::world::directory::Change;
-use crate::gateway::world::state::World;
+use crate::gateway::world::state::Routing;
 use crate::member::Beat;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -36,10 +36,10 @@
 impl Gateway {
     /// Takes in what has changed; all of it under another configuration. `known` is the version of the configuration
     /// and the number of changes that were taken in before.
-    fn configure(&self, world: &mut watch::Receiver<World>, known: &mut Option<(u64, u64)>) {
+    fn configure(&self, world: &mut watch::Receiver<Routing>, known: &mut Option<(u64, u64)>) {
         let world = world.borrow_and_update();
         let table = world.table.as_deref();
-        let version = world.version();
+        let version = world.config_version();
         let same = known.filter(|(before, _)| *before == version);
         let changes = same.and_then(|(_, noted)| world.changes.since(noted));
         if let Some(changes) = changes {
@@ -48,7 +48,7 @@
         } else {
             self.desk.configure(&world.directory, table);
         }
-        *known = Some((version, world.changes.noted()));
+        *known = Some((version, world.changes.revision()));
     }
 }
 
@@ -93,7 +93,7 @@
             gateway.note_members();
             let (directory, aged) = {
                 let world = gateway.world.borrow();
-                (Arc::clone(&world.directory), world.aged)
+                (Arc::clone(&world.directory), world.directory_confirmed_at)
             };
             if let Some(aged) = aged {
                 gateway.metrics.directory_age(aged.elapsed());
--- a/src/gateway/front/mod.rs
+++ b/src/gateway/front/mod.rs
@@ -20,10 +20,10 @@
 use crate::gateway::tokens::handover::Reason;
 use crate::gateway::tokens::keeper;
 use crate::gateway::tokens::keeper::Keeper;
-use crate::gateway::world::contact::Contacts;
+use crate::gateway::world::contact::Discovery;
 use crate::gateway::world::copy::Copier;
 use crate::gateway::world::sources::Sources;
-use crate::gateway::world::state::World;
+use crate::gateway::world::state::Routing;
 use crate::gateway::world::{feed, snapshot, sources};
 use crate::gateway::{Gateway, conversation, peers};
 use crate::id::{Boot, Offset};
@@ -64,10 +64,10 @@
 /// # Errors
 /// [`Code::BadSettings`] where an address can't be bound.
 pub(crate) fn run(path: &Path, settings: settings::Gateway) -> Result<(), Failure> {
-    let (worlds, world) = watch::channel(World::empty());
+    let (worlds, world) = watch::channel(Routing::empty());
     let mut supervisor = Supervisor::new(CancellationToken::new());
     let (views, view) = watch::channel(Arc::new(View::default()));
-    let (introducing, introduced) = watch::channel(false);
+    let (introducing, peers_known) = watch::channel(false);
     let sources = Sources {
         vm: settings.vm.clone(),
         store: settings.store.address,
@@ -76,10 +76,10 @@
         zone: settings.zone.clone(),
         view: view.clone(),
         bounds: settings.bounds,
-        introduced,
+        peers_known,
     };
     let (relay, key) = (
-        bound(sources::address(settings.listen.peers))?,
+        bound(sources::relay_address(settings.listen.peers))?,
         settings.peer_key.clone(),
     );
     supervisor.duty("feed", move || {
@@ -107,7 +107,7 @@
 /// What the request thread is told by the others, and tells them.
 #[derive(Debug)]
 struct Outside {
-    world: watch::Receiver<World>,
+    world: watch::Receiver<Routing>,
     view: watch::Receiver<Arc<View>>,
     beats: Arc<watch::Sender<Beat>>,
     contacts: flume::Sender<List>,
@@ -201,7 +201,7 @@
         leases: Leases::default(),
         metrics: Metrics::new(),
         sampler: Sampler::new(),
-        contacts: Rc::new(Contacts::new(&settings)),
+        contacts: Rc::new(Discovery::new(&settings)),
         copier: Copier::default(),
         path: path.to_owned(),
         stop_ms: Cell::new(settings.stop_ms),
@@ -224,7 +224,7 @@
         spawn_local(operators::run(Rc::clone(&gateway), bind(address).await?));
     }
     spawn_local(operators::run(Rc::clone(&gateway), operators));
-    spawn_local(snapshot::keep(Rc::clone(&gateway)));
+    spawn_local(snapshot::publish(Rc::clone(&gateway)));
     spawn_local(peers::receive(Rc::clone(&gateway)));
     spawn_local(keeper::keep_house(Rc::clone(&gateway)));
     spawn_local(conversation::keep_house(Rc::clone(&gateway)));
@@ -320,14 +320,14 @@
 
     /// Whether the store answers this VM.
     pub(crate) fn has_store(&self) -> bool {
-        let heard = self.world.borrow().heard;
+        let heard = self.world.borrow().last_store_read;
         heard.is_some_and(|heard| heard.elapsed() < UNHEARD) && self.keeper.has_store()
     }
 
     /// How many milliseconds ago the newest call began that the store answered, unless it refuses the
     /// records of this VM.
     pub(crate) fn store_heard_ms(&self) -> Option<u64> {
-        let heard = self.world.borrow().heard?;
+        let heard = self.world.borrow().last_store_read?;
         let ago_ms = u64::try_from(heard.elapsed().as_millis()).unwrap_or(u64::MAX);
         self.keeper.has_store().then_some(ago_ms)
     }
@@ -335,7 +335,7 @@
     /// The version of the configuration that is in force here.
     pub(super) fn applied(&self) -> Offset {
         let world = self.world.borrow();
-        Offset(world.version())
+        Offset(world.config_version())
     }
 
     /// Whether this VM counts and queues for others: unlike routing, that needs no directory.
--- a/src/gateway/front/operators.rs
+++ b/src/gateway/front/operators.rs
@@ -18,8 +18,14 @@
         if request.uri().path() == conversation::PATH {
             return conversation::serve(Rc::clone(&gateway), request).await;
         }
-        if request.uri().path() == contact::PATH {
-            return answer(gateway.contacts.encoded().await.unwrap_or_default());
+        if request.uri().path() == contact::INTRODUCTIONS_PATH {
+            return answer(
+                gateway
+                    .contacts
+                    .encoded_introductions()
+                    .await
+                    .unwrap_or_default(),
+            );
         }
         gateway.operator(request.uri())
     })
@@ -74,11 +80,11 @@
             "config": world.table.as_ref().map(|table| table.version),
             "routes": world.table.as_ref().map(|table| table.len()),
             "directory": json!({
-                "as_of": world.as_of,
-                "age_ms": world.aged.map(|at| at.elapsed().as_millis()),
-                "from": world.source,
+                "as_of": world.directory_offset,
+                "age_ms": world.directory_confirmed_at.map(|at| at.elapsed().as_millis()),
+                "from": world.directory_source,
             }),
-            "store_heard_ms": world.heard.map(|heard| heard.elapsed().as_millis()),
+            "store_heard_ms": world.last_store_read.map(|heard| heard.elapsed().as_millis()),
             "servers": servers.collect::<Vec<_>>(),
             "services": self.desk.state(),
             "leases": json!({ "waiting": waiting, "places": places }),
--- a/src/gateway/limits/count.rs
+++ b/src/gateway/limits/count.rs
@@ -149,7 +149,7 @@
         let world = self.world.borrow();
         let table = world.table.as_ref();
         let table = table.filter(|table| table.version >= take.version);
-        let team = table.and_then(|table| table.teams.as_ref()?.named(&take.team));
+        let team = table.and_then(|table| table.teams.as_ref()?.by_name(&take.team));
         team.and_then(|team| team.limit).unwrap_or(take.limit)
     }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -48,9 +48,9 @@
 use std::time::Duration;
 use tokens::keeper::Keeper;
 use tokio::sync::watch;
-use world::contact::Contacts;
+use world::contact::Discovery;
 use world::copy::Copier;
-use world::state::World;
+use world::state::Routing;
 
 /// How long the store may be silent before a VM no longer trusts that its configuration is the
 /// newest.
@@ -64,7 +64,7 @@
     path: PathBuf,
     stop_ms: Cell<u64>,
     zone: Arc<str>,
-    world: watch::Receiver<World>,
+    world: watch::Receiver<Routing>,
     view: watch::Receiver<Arc<View>>,
     peers: Peers,
     keeper: Rc<Keeper>,
@@ -76,7 +76,7 @@
     leases: Leases,
     metrics: Metrics,
     sampler: Sampler,
-    contacts: Rc<Contacts>,
+    contacts: Rc<Discovery>,
     copier: Copier,
     stopping: Cell<bool>,
 }
@@ -89,7 +89,7 @@
     /// Whether the configuration may be out of date: the store has not been heard for a while, or another VM has
     /// applied a newer one.
     fn is_behind(&self) -> bool {
-        let heard = self.world.borrow().heard;
+        let heard = self.world.borrow().last_store_read;
         let blind = heard.is_none_or(|heard| heard.elapsed() > BLIND);
         blind || self.view.borrow().newest > self.applied()
     }
--- a/src/gateway/queue/permit.rs
+++ b/src/gateway/queue/permit.rs
@@ -3,8 +3,8 @@
 use crate::code::{Code, Failure};
 use crate::gateway::Gateway;
 use crate::gateway::peers::Note;
-use crate::gateway::world::directory::{Change, Directory, Entry, Id};
-use crate::gateway::world::state::World;
+use crate::gateway::world::directory::{Change, Directory, Entry, Instance};
+use crate::gateway::world::state::Routing;
 use crate::gateway::world::table::Table;
 use crate::id;
 use crate::policy::dispatch::{Ask, Description, Dispatcher, GIVEN_UP, Outcome, Ticked, Verdict};
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Desk {
     dispatcher: RefCell<Dispatcher>,
-    waiters: RefCell<HashMap<id::Permit, oneshot::Sender<Option<Id>>>>,
+    waiters: RefCell<HashMap<id::Permit, oneshot::Sender<Option<Instance>>>>,
     numbers: Cell<u64>,
     /// The servers that the windows are of, by name.
     known: RefCell<HashMap<Arc<str>, Arc<Entry>>>,
@@ -36,11 +36,11 @@
     let service = table.and_then(|table| table.services.get(&entry.service));
     let engine = service.and_then(|service| service.engine.as_ref());
     Description {
-        id: Id::clone(&entry.id),
+        id: Instance::clone(&entry.id),
         service: entry.service.as_str().into(),
         zone: entry.zone.as_str().into(),
         slots: entry.slots,
-        memory_tokens: engine.map_or(0, |engine| engine.memory_tokens),
+        memory_tokens: engine.map_or(0, |engine| engine.cache_tokens),
         leaving: entry.draining,
     }
 }
@@ -94,7 +94,7 @@
     }
 
     /// Tells a request that waits where it may go, or that it is given up.
-    fn tell(&self, permit: id::Permit, server: Option<Id>) {
+    fn tell(&self, permit: id::Permit, server: Option<Instance>) {
         let Some(waiter) = self.waiters.borrow_mut().remove(&permit) else {
             return;
         };
@@ -237,9 +237,9 @@
     }
 }
 
-impl World {
+impl Routing {
     /// A registered server.
-    pub(crate) fn server(&self, id: &Id) -> Option<Arc<Entry>> {
+    pub(crate) fn server(&self, id: &Instance) -> Option<Arc<Entry>> {
         self.directory.get(id).map(Arc::clone)
     }
 }
--- a/src/gateway/request/admit.rs
+++ b/src/gateway/request/admit.rs
@@ -37,7 +37,7 @@
     arrived: Instant,
 ) -> Result<Job, Failure> {
     let (mut parts, body) = request.into_parts();
-    if headers::ambiguous(&parts.headers) {
+    if headers::has_ambiguous_framing(&parts.headers) {
         return Err(Failure::refused(
             Code::BadBody,
             "the length of the body is ambiguous",
@@ -56,9 +56,9 @@
     };
     let team = identify(gateway, &table, route, &mut parts.headers)?;
     claim(&mut meta, &table, team.as_deref());
-    let wait = meta.wait.unwrap_or(WAIT).saturating_sub(WAY);
+    let wait = meta.timeout.unwrap_or(WAIT).saturating_sub(WAY);
     let deadline = arrived + wait.min(route.timeout);
-    let limit = table.sizes.body_bytes;
+    let limit = table.request_limits.max_body_bytes;
     let body = timeout_at(deadline, Limited::new(body, limit).collect()).await;
     let body = match body {
         Ok(Ok(body)) => body.to_bytes(),
@@ -78,7 +78,7 @@
     };
     let prev = prev_turn(route, &meta, &body)?;
     let draw = xxh3_64(meta.program.as_deref().unwrap_or(&meta.id).as_bytes());
-    let Some(service) = route.service(draw) else {
+    let Some(service) = route.pick_service(draw) else {
         return Err(Failure::refused(Code::NoServer, "the route leads nowhere"));
     };
     let engine = table
@@ -120,7 +120,7 @@
     meta: &Meta,
     input: &Bytes,
 ) -> Result<Option<conversation::Id>, Failure> {
-    if !route.keeps_turns {
+    if !route.stores_history {
         return Ok(None);
     }
     if meta.last_event.is_some() {
--- a/src/gateway/request/identify.rs
+++ b/src/gateway/request/identify.rs
@@ -4,7 +4,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::request::admit::behind;
 use crate::gateway::world::table::{Route, Table};
-use crate::gateway::world::team::{Team, scoped};
+use crate::gateway::world::team::{Team, scoped_name};
 use crate::platform::headers::{self, Meta};
 use http::HeaderMap;
 use std::sync::Arc;
@@ -20,11 +20,11 @@
     route: &Route,
     headers: &mut HeaderMap,
 ) -> Result<Option<Arc<Team>>, Failure> {
-    let key = headers::take_key(headers);
+    let key = headers::take_api_key(headers);
     let Some(teams) = &table.teams else {
         return Ok(None);
     };
-    let holder = key.and_then(|key| teams.holder(key.as_bytes()).cloned());
+    let holder = key.and_then(|key| teams.by_key(key.as_bytes()).cloned());
     if holder.is_some() || route.public {
         return Ok(holder);
     }
@@ -48,8 +48,8 @@
     }
     // Without a key a name must not be a team's either.
     let scope = Some(team.map_or("", |team| &*team.name));
-    for name in [&mut meta.program, &mut meta.line, &mut meta.prev_turn] {
-        *name = name.take().map(|name| scoped(scope, &name));
+    for name in [&mut meta.program, &mut meta.session, &mut meta.prev_turn] {
+        *name = name.take().map(|name| scoped_name(scope, &name));
     }
-    meta.turn = scoped(scope, &meta.id);
+    meta.turn_name = scoped_name(scope, &meta.id);
 }
--- a/src/gateway/request/job.rs
+++ b/src/gateway/request/job.rs
@@ -3,7 +3,7 @@
 use crate::conversation;
 use crate::gateway::Gateway;
 use crate::gateway::tokens::keeper::Allowance;
-use crate::gateway::world::directory::Id;
+use crate::gateway::world::directory::Instance;
 use crate::gateway::world::table::Route;
 use crate::gateway::world::team::Team;
 use crate::platform::headers::Meta;
@@ -44,7 +44,7 @@
     /// What the program allows this turn to generate.
     pub(crate) allowance: RefCell<Option<Allowance>>,
     /// The servers that it was sent to, in this order.
-    pub(crate) servers: RefCell<Vec<Id>>,
+    pub(crate) servers: RefCell<Vec<Instance>>,
     /// How long it waited for places at servers.
     pub(crate) waited: Cell<Duration>,
     /// How long it waited for leave to generate tokens.
@@ -111,7 +111,7 @@
             servers = self.servers.borrow().join(","),
             program = self.meta.program.as_deref().unwrap_or_default(),
             turn = allowance.as_ref().map_or(0, |allowance| allowance.turns),
-            parts = self.meta.prompt.len(),
+            parts = self.meta.prompt_parts.len(),
             events = self.events.get(),
             waited_ms = self.waited.get().as_millis(),
             allowed_ms = self.allowed.get().as_millis(),
--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -183,13 +183,13 @@
 
 /// Gets leave for the tokens of a turn, before anything of it is sent.
 async fn allow(job: &Job) -> Result<(), Failure> {
-    let (Some(program), Some(budget)) = (&job.meta.program, job.meta.budget) else {
+    let (Some(program), Some(budget)) = (&job.meta.program, job.meta.token_budget) else {
         return Ok(());
     };
     if job.tokens_per_event == 0 {
         return Ok(());
     }
-    let events = job.meta.most_tokens.div_ceil(job.tokens_per_event);
+    let events = job.meta.max_tokens.div_ceil(job.tokens_per_event);
     let most = events * job.tokens_per_event;
     let began = Instant::now();
     let allowance = job.gateway.reserve(program, budget, most).await;
@@ -202,7 +202,7 @@
 
 fn ask(job: &Job, avoid: &[Arc<str>]) -> Ask {
     let age_ms = i64::try_from(job.age_ms()).unwrap_or(i64::MAX);
-    let objective_ms = i64::try_from(job.route.objective.as_millis()).unwrap_or(i64::MAX);
+    let objective_ms = i64::try_from(job.route.latency_target.as_millis()).unwrap_or(i64::MAX);
     let allowance = job.allowance.borrow();
     Ask {
         service: Arc::clone(&job.service),
@@ -213,8 +213,8 @@
         turns: allowance.as_ref().map_or(0, |allowance| allowance.turns),
         left_ms: job.meta.finish_ms.unwrap_or(objective_ms) - age_ms,
         limit_ms: u64::try_from(job.left().as_millis()).unwrap_or(u64::MAX),
-        line: job.meta.line.as_ref().map(|line| hash(line)),
-        prompt: job.meta.prompt.clone(),
+        line: job.meta.session.as_ref().map(|line| hash(line)),
+        prompt: job.meta.prompt_parts.clone(),
         avoid: avoid.to_vec(),
     }
 }
--- a/src/gateway/request/reply.rs
+++ b/src/gateway/request/reply.rs
@@ -25,11 +25,11 @@
         header::CONTENT_TYPE,
         HeaderValue::from_static("application/json"),
     );
-    if let Some((name, value)) = headers::echo(id) {
+    if let Some((name, value)) = headers::request_id_header(id) {
         headers.insert(name, value);
     }
     if let Some(after) = failure.retry_after_ms {
-        let (name, value) = headers::come_back(Duration::from_millis(after));
+        let (name, value) = headers::retry_after(Duration::from_millis(after));
         headers.insert(name, value);
     }
     reply
--- a/src/gateway/request/stream.rs
+++ b/src/gateway/request/stream.rs
@@ -29,7 +29,7 @@
         permit,
         source: stream.source,
         last: job.meta.last_event,
-        said: job.route.keeps_turns.then(Transcript::default),
+        said: job.route.stores_history.then(Transcript::default),
         chunks,
     };
     tokio::task::spawn_local(pump.run(stream.first));
--- a/src/gateway/server/attempt.rs
+++ b/src/gateway/server/attempt.rs
@@ -5,7 +5,7 @@
 use crate::gateway::server::event::{Batch, Splitter};
 use crate::gateway::server::link::{Broken, Link};
 use crate::gateway::world::table::Kind;
-use crate::platform::headers::{self, Verdict};
+use crate::platform::headers::{self, Response};
 use crate::policy::dispatch::{Load, Outcome};
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, Request, StatusCode};
@@ -145,7 +145,7 @@
     let mut request = Request::new(Full::new(job.body.borrow().clone()));
     *request.method_mut() = job.method.clone();
     *request.uri_mut() = job.uri.clone();
-    *request.headers_mut() = headers::request(
+    *request.headers_mut() = headers::backend_request_headers(
         &job.headers,
         &permit.server.name,
         job.team_name(),
@@ -163,7 +163,7 @@
         }
         Err(Broken::Unknown) => return Err(Broken::Unknown),
     };
-    let verdict = Verdict::of(reply.headers());
+    let verdict = Response::of(reply.headers());
     let status = reply.status();
     let ours = verdict.id.as_deref() == Some(job.meta.id.as_str());
     let refused = verdict.not_run || status == StatusCode::MISDIRECTED_REQUEST;
@@ -190,12 +190,12 @@
         link,
         body,
         splitter: Splitter::default(),
-        keep: verdict.keep,
+        keep: verdict.keep_alive,
         closes: verdict.closes,
         load: verdict.load,
         began,
     };
-    let headers = headers::answer(&parts.headers);
+    let headers = headers::caller_response_headers(&parts.headers);
     if job.route.kind == Kind::Stream && status.is_success() {
         let first = match source.next().await {
             Next::Events(batch) => Some(batch),
@@ -221,9 +221,9 @@
     }))
 }
 
-async fn keep_after(job: &Job, link: Link, mut body: Incoming, verdict: &Verdict) {
+async fn keep_after(job: &Job, link: Link, mut body: Incoming, verdict: &Response) {
     if !verdict.closes && whole(&mut body).await.is_some() {
-        job.gateway.links.give(link, verdict.keep);
+        job.gateway.links.give(link, verdict.keep_alive);
     }
 }
 
--- a/src/gateway/server/link.rs
+++ b/src/gateway/server/link.rs
@@ -1,7 +1,7 @@
 //! Kept connections to backend servers.
 
 use crate::gateway::front::socket;
-use crate::gateway::world::directory::{Entry, Id};
+use crate::gateway::world::directory::{Entry, Instance};
 use bytes::Bytes;
 use http::{Request, Response};
 use http_body_util::Full;
@@ -31,7 +31,7 @@
 pub(crate) struct Link {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    server: Id,
+    server: Instance,
     /// Answers that it has carried.
     answers: u32,
     idle_since: Instant,
@@ -68,7 +68,7 @@
         Ok(Self {
             sender,
             driver: driver.abort_handle(),
-            server: Id::clone(&entry.id),
+            server: Instance::clone(&entry.id),
             answers: 0,
             idle_since: Instant::now(),
             keep: KEEP,
@@ -105,12 +105,12 @@
 /// The idle connections to all backend servers.
 #[derive(Debug, Default)]
 pub(crate) struct Links {
-    idle: RefCell<HashMap<Id, Vec<Link>>>,
+    idle: RefCell<HashMap<Instance, Vec<Link>>>,
 }
 
 impl Links {
     /// The connection to `server` that was used last, if it was idle for less than `idle`.
-    pub(crate) fn take(&self, server: &Id, idle: Duration) -> Option<Link> {
+    pub(crate) fn take(&self, server: &Instance, idle: Duration) -> Option<Link> {
         let now = Instant::now();
         let mut all = self.idle.borrow_mut();
         let links = all.get_mut(server)?;
@@ -126,14 +126,14 @@
             link.keep = keep.saturating_sub(KEEP_MARGIN);
         }
         let mut all = self.idle.borrow_mut();
-        let links = all.entry(Id::clone(&link.server)).or_default();
+        let links = all.entry(Instance::clone(&link.server)).or_default();
         if links.len() < IDLE {
             links.push(link);
         }
     }
 
     /// Closes what has been idle for too long or leads to a server that is not `known`.
-    pub(crate) fn sweep(&self, known: impl Fn(&Id) -> bool) {
+    pub(crate) fn sweep(&self, known: impl Fn(&Instance) -> bool) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|server, links| {
             links.retain(|link| link.is_usable(now));
--- a/src/gateway/tokens/detour.rs
+++ b/src/gateway/tokens/detour.rs
@@ -3,8 +3,8 @@
 use crate::gateway::peers::Copy;
 use crate::gateway::tokens::keeper::{Keeper, PATIENCE, encode};
 use crate::gateway::tokens::part::Part;
-use crate::platform::records::DETOUR_TOPIC;
-use crate::platform::store::Keyed;
+use crate::platform::records::FALLBACK_ALLOWANCE_TOPIC;
+use crate::platform::store::Record;
 use crate::telemetry::event;
 use futures::future::select_ok;
 use tokio::time::timeout;
@@ -21,7 +21,9 @@
         let record = [encode(&copy.program, copy.allowed)];
         // All at once: one after the other, a turn waited 250 ms for each of three that were silent.
         let writes = self.other_parts(number).map(|other| {
-            let write = self.store.append(DETOUR_TOPIC, other, &record, None);
+            let write = self
+                .store
+                .append(FALLBACK_ALLOWANCE_TOPIC, other, &record, None);
             Box::pin(async move { write.await.map(|()| other) })
         });
         let written = timeout(PATIENCE, select_ok(writes)).await;
@@ -50,17 +52,21 @@
     ///
     /// Not when their own partition has taken the allowance: that drop may take effect seconds later,
     /// and would take a newer allowance along, which the partition does not have yet.
-    pub(crate) async fn end_detours(&self, number: u64, part: &Part, over: &[Keyed]) {
+    pub(crate) async fn end_detours(&self, number: u64, part: &Part, over: &[Record]) {
         for other in self.other_parts(number) {
-            let records: Vec<Keyed> = {
+            let records: Vec<Record> = {
                 let mut detours = part.detours.borrow_mut();
-                let through = |record: &&Keyed| detours.remove(&(other, record.key.clone()));
+                let through = |record: &&Record| detours.remove(&(other, record.key.clone()));
                 over.iter().filter(through).cloned().collect()
             };
             if records.is_empty() {
                 continue;
             }
-            if let Err(fault) = self.store.append(DETOUR_TOPIC, other, &records, None).await {
+            if let Err(fault) = self
+                .store
+                .append(FALLBACK_ALLOWANCE_TOPIC, other, &records, None)
+                .await
+            {
                 // A detour that stays says no more than the partition's own record.
                 event!(debug, "detours_left", part = number, reason = fault);
             }
--- a/src/gateway/tokens/failover.rs
+++ b/src/gateway/tokens/failover.rs
@@ -6,7 +6,7 @@
 use crate::gateway::tokens::keeper::PATIENCE;
 use crate::gateway::tokens::part::Part;
 use crate::id::{Offset, Shard, rendezvous};
-use crate::platform::store::Fault;
+use crate::platform::store::Error;
 use crate::policy::trust::Origin;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -97,7 +97,7 @@
             match timeout(patience, taking).await {
                 Ok(Ok(Ok(()))) => return Taking::Done,
                 // Another VM was faster, and says so when it is asked.
-                Ok(Ok(Err(Fault::Moved))) => {}
+                Ok(Ok(Err(Error::Conflict))) => {}
                 _ => return Taking::Failed,
             }
         }
@@ -111,7 +111,7 @@
         part: Rc<Part>,
         end: Offset,
         origin: Origin,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), Error> {
         let oldest_ms = self.gather(number).await;
         part.oldest_ms.set(oldest_ms);
         let done = self.keeper.take(number, &part, Some(end), origin).await;
--- a/src/gateway/tokens/keeper.rs
+++ b/src/gateway/tokens/keeper.rs
@@ -10,7 +10,7 @@
 use crate::gateway::{Gateway, peers};
 use crate::id::{Epoch, Shard};
 use crate::platform::records::ALLOWANCE_TOPIC;
-use crate::platform::store::{Fault, Keyed, Store, Writer};
+use crate::platform::store::{Error, Record, Store, Writer};
 use crate::policy::allowance::{Entry, Reservation};
 use crate::policy::trust::Origin;
 use crate::telemetry::event;
@@ -176,7 +176,7 @@
                 }
                 continue;
             }
-            let records: Vec<Keyed> = batch
+            let records: Vec<Record> = batch
                 .iter()
                 .map(|(key, allowed)| encode(key, *allowed))
                 .collect();
@@ -189,14 +189,14 @@
     }
 
     /// Appends one batch. Gives false where it has to be looked at anew.
-    async fn append(&self, number: u64, part: &Part, hold: Hold, records: &[Keyed]) -> bool {
+    async fn append(&self, number: u64, part: &Part, hold: Hold, records: &[Record]) -> bool {
         let writer = writer(hold.epoch, hold.sequence);
         let mut pause = AGAIN.0;
         loop {
             let began = (Instant::now(), clock::wall_ms());
             let done = self
                 .store
-                .append_surely(ALLOWANCE_TOPIC, number, records, Some(&writer))
+                .append_hedged(ALLOWANCE_TOPIC, number, records, Some(&writer))
                 .await;
             let next = |sequence| {
                 // Handed over meanwhile, it is not this VM's any more.
@@ -214,11 +214,11 @@
                     next(hold.sequence + 1);
                     return true;
                 }
-                Err(Fault::Fenced) => {
+                Err(Error::Fenced) => {
                     self.shut_out(number, part, hold.epoch);
                     return false;
                 }
-                Err(Fault::Sequence(expected)) => {
+                Err(Error::SequenceMismatch(expected)) => {
                     event!(
                         warn,
                         "sequence_corrected",
@@ -279,8 +279,8 @@
             if expired.is_empty() || !fenced || part.writing.replace(true) {
                 continue;
             }
-            let dropped = expired.into_iter().map(|key| Keyed { key, value: None });
-            let records: Vec<Keyed> = dropped.collect();
+            let dropped = expired.into_iter().map(|key| Record { key, value: None });
+            let records: Vec<Record> = dropped.collect();
             if let Some(hold) = part.hold.get() {
                 self.append(number, &part, hold, &records).await;
             }
@@ -373,12 +373,12 @@
         name: "allowance".to_owned(),
         epoch,
         sequence,
-        as_of: None,
+        expected_end: None,
     }
 }
 
-pub(crate) fn encode(program: &str, allowed: u64) -> Keyed {
-    Keyed {
+pub(crate) fn encode(program: &str, allowed: u64) -> Record {
+    Record {
         key: program.to_owned(),
         value: Some(Bytes::from(allowed.to_string())),
     }
--- a/src/gateway/tokens/takeover.rs
+++ b/src/gateway/tokens/takeover.rs
@@ -4,8 +4,8 @@
 use crate::gateway::tokens::keeper::{ALIVE_KEY, IDLE, Keeper, OURS, decode, writer};
 use crate::gateway::tokens::part::{Hold, Part};
 use crate::id::Offset;
-use crate::platform::records::{ALLOWANCE_TOPIC, DETOUR_TOPIC};
-use crate::platform::store::{Fault, Keyed, Newest, Writer};
+use crate::platform::records::{ALLOWANCE_TOPIC, FALLBACK_ALLOWANCE_TOPIC};
+use crate::platform::store::{Error, Latest, Record, Writer};
 use crate::policy::allowance::Ledger;
 use crate::policy::trust::Origin;
 use crate::telemetry::event;
@@ -55,8 +55,8 @@
 
 impl Keeper {
     /// Who has taken a partition last.
-    pub(crate) async fn owner(&self, number: u64) -> Result<Owner, Fault> {
-        let newest = self.store.newest(ALLOWANCE_TOPIC, number).await?;
+    pub(crate) async fn owner(&self, number: u64) -> Result<Owner, Error> {
+        let newest = self.store.read_latest(ALLOWANCE_TOPIC, number).await?;
         let mut records = newest.records.into_iter();
         let record = records.find(|record| record.key == OWNER_KEY);
         Ok(Owner {
@@ -76,7 +76,7 @@
         part: &Part,
         as_of: Option<Offset>,
         origin: Origin,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), Error> {
         let _taking = part.taking.lock().await;
         if part.hold.get().is_some_and(|hold| hold.fenced) {
             return Ok(());
@@ -120,26 +120,27 @@
     async fn fence(
         &self,
         number: u64,
-        as_of: Option<Offset>,
+        expected_end: Option<Offset>,
         origin: Origin,
-    ) -> Result<Hold, Fault> {
+    ) -> Result<Hold, Error> {
         let record = Bytes::from(format!("{} {}", self.address, clock::wall_ms()));
-        let owner = [Keyed {
+        let owner = [Record {
             key: OWNER_KEY.to_owned(),
             value: Some(record.clone()),
         }];
         let mut epoch = self.epoch();
         loop {
             let writer = Writer {
-                as_of,
+                expected_end,
                 ..writer(epoch, 0)
             };
             let append = self
                 .store
-                .append_surely(ALLOWANCE_TOPIC, number, &owner, Some(&writer));
+                .append_hedged(ALLOWANCE_TOPIC, number, &owner, Some(&writer));
             let mut done = append.await;
             // The answer may have been lost, and the partition ends later by this very record.
-            if done == Err(Fault::Moved) && self.owner(number).await?.record == Some(record.clone())
+            if done == Err(Error::Conflict)
+                && self.owner(number).await?.record == Some(record.clone())
             {
                 done = Ok(());
             }
@@ -152,9 +153,9 @@
                         origin,
                     });
                 }
-                Err(Fault::Moved) => return Err(Fault::Moved),
+                Err(Error::Conflict) => return Err(Error::Conflict),
                 // The clock of the VM before is ahead of this one's.
-                Err(Fault::Fenced) => epoch += EPOCH_STEP,
+                Err(Error::Fenced) => epoch += EPOCH_STEP,
                 Err(fault) => {
                     self.heard(false);
                     return Err(fault);
@@ -164,12 +165,12 @@
     }
 
     /// Reads the records of a partition, and adds those that went through others to the copies.
-    async fn read_records(&self, number: u64, part: &Part) -> Result<Newest, Fault> {
+    async fn read_records(&self, number: u64, part: &Part) -> Result<Latest, Error> {
         let detours = self
             .other_parts(number)
-            .map(|other| self.store.newest(DETOUR_TOPIC, other));
+            .map(|other| self.store.read_latest(FALLBACK_ALLOWANCE_TOPIC, other));
         let (newest, detours) = tokio::join!(
-            self.store.newest(ALLOWANCE_TOPIC, number),
+            self.store.read_latest(ALLOWANCE_TOPIC, number),
             futures::future::join_all(detours),
         );
         self.heard(newest.is_ok());
@@ -199,7 +200,7 @@
     fn ledger(
         &self,
         part: &Part,
-        records: &[Keyed],
+        records: &[Record],
         kept: &HashMap<String, (u64, Instant)>,
     ) -> Ledger {
         let now = Instant::now();
@@ -271,7 +272,7 @@
 
 /// Whether the VM that counted a partition may have given what no record and no live VM tells
 /// of: it could not record for a while, and then all VMs were lost.
-fn is_doubtful(records: &[Keyed], oldest_ms: u64) -> bool {
+fn is_doubtful(records: &[Record], oldest_ms: u64) -> bool {
     let time = |key| {
         let record = records.iter().find(|record| record.key == key);
         record.and_then(|record| record.value.as_ref().and_then(decode))
--- a/src/gateway/world/contact.rs
+++ b/src/gateway/world/contact.rs
@@ -4,7 +4,7 @@
 use crate::id::{Vm, Zone};
 use crate::member::{Introduction, List};
 use crate::platform::records::CONTACT_TOPIC;
-use crate::platform::store::{Fault, Keyed, Newest, Store};
+use crate::platform::store::{Error, Latest, Record, Store};
 use crate::policy::cells::{cell, readers};
 use crate::policy::relay::Peer;
 use crate::settings;
@@ -37,7 +37,7 @@
 /// Time for the membership task to process the introductions passed to it.
 const MEMBERSHIP_DELAY: Duration = Duration::from_millis(100);
 /// HTTP path that serves the introductions of all VMs.
-pub(crate) const PATH: &str = "/introductions";
+pub(crate) const INTRODUCTIONS_PATH: &str = "/introductions";
 /// How long a list of all introductions is reused.
 const LIST_CACHE_TTL: Duration = Duration::from_secs(1);
 /// Timeout of a request for another VM's list, which it may have to read from the store first.
@@ -73,7 +73,7 @@
 /// Each VM writes to one cell, a partition of the store. A VM reads its own cell, and gets the
 /// others from the VM that reads all cells on behalf of its cell.
 #[derive(Debug)]
-pub(crate) struct Contacts {
+pub(crate) struct Discovery {
     store: Store,
     client: reqwest::Client,
     vm: Vm,
@@ -85,7 +85,7 @@
     read_lock: Mutex<()>,
 }
 
-impl Contacts {
+impl Discovery {
     pub(crate) fn new(settings: &settings::Gateway) -> Self {
         let client = reqwest::Client::builder()
             .timeout(FETCH_TIMEOUT)
@@ -148,7 +148,7 @@
             written_ms: clock::wall_ms(),
         };
         let value = serde_json::to_vec(&contact).unwrap_or_default();
-        let record = Keyed {
+        let record = Record {
             key,
             value: Some(Bytes::from(value)),
         };
@@ -165,7 +165,7 @@
     /// Lists all VMs, from the VM that reads all cells for this one or else from the store.
     async fn read(&self) -> Option<List> {
         let own_cell = cell(&self.vm, &self.zone, self.cells);
-        let own_list = match self.store.newest(CONTACT_TOPIC, own_cell).await {
+        let own_list = match self.store.read_latest(CONTACT_TOPIC, own_cell).await {
             Ok(newest) => to_list([newest]),
             Err(fault) => {
                 event!(debug, "contacts_unread", cell = own_cell, reason = fault);
@@ -190,7 +190,9 @@
 
     async fn fetch(&self, reader: SocketAddr) -> Option<List> {
         let address = SocketAddr::new(reader.ip(), self.port);
-        let request = self.client.get(format!("http://{address}{PATH}"));
+        let request = self
+            .client
+            .get(format!("http://{address}{INTRODUCTIONS_PATH}"));
         let body = async {
             let response = request.send().await?.error_for_status()?;
             response.bytes().await
@@ -205,8 +207,8 @@
         rmp_serde::from_slice(&bytes).ok()
     }
 
-    /// The introductions of all VMs, as served at [`PATH`]; `None` if no cell could be read.
-    pub(crate) async fn encoded(&self) -> Option<Bytes> {
+    /// The introductions of all VMs, as served at [`INTRODUCTIONS_PATH`]; `None` if no cell could be read.
+    pub(crate) async fn encoded_introductions(&self) -> Option<Bytes> {
         self.read_all().await.map(|cached| cached.encoded)
     }
 
@@ -222,8 +224,8 @@
         if let Some(cached) = cached.filter(|cached| cached.read_at.elapsed() < LIST_CACHE_TTL) {
             return Some(cached);
         }
-        let reads = (0..self.cells).map(|cell| self.store.newest(CONTACT_TOPIC, cell));
-        let results: Vec<Result<Newest, Fault>> = stream::iter(reads)
+        let reads = (0..self.cells).map(|cell| self.store.read_latest(CONTACT_TOPIC, cell));
+        let results: Vec<Result<Latest, Error>> = stream::iter(reads)
             .buffer_unordered(MAX_CONCURRENT_READS)
             .collect()
             .await;
@@ -252,7 +254,7 @@
 }
 
 /// Merges the records of cells. All VMs are addresses to contact; fresh ones are also introduced.
-fn to_list(cells: impl IntoIterator<Item = Newest>) -> List {
+fn to_list(cells: impl IntoIterator<Item = Latest>) -> List {
     let (now_ms, mut list) = (clock::wall_ms(), List::default());
     let records = cells.into_iter().flat_map(|newest| newest.records);
     let values = records.filter_map(|record| record.value);
--- a/src/gateway/world/copy.rs
+++ b/src/gateway/world/copy.rs
@@ -1,7 +1,7 @@
 //! Serves full copies of the directory and the configuration to other VMs.
 
 use crate::gateway::world::directory::Entry;
-use crate::gateway::world::state::World;
+use crate::gateway::world::state::Routing;
 use crate::id::Offset;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -81,15 +81,15 @@
 impl Copier {
     /// A copy of the directory; `None` if this VM has no directory, its directory is too old, or too
     /// many copies are in flight.
-    pub(crate) fn directory(&self, world: &World, query: Option<&str>) -> Option<Bytes> {
+    pub(crate) fn directory(&self, world: &Routing, query: Option<&str>) -> Option<Bytes> {
         let minimum = Offset(minimum(query));
         let busy = self.in_flight.load(Ordering::Relaxed) >= MAX_CONCURRENT_COPIES;
-        if !world.listed || world.as_of < minimum || busy {
+        if !world.directory_loaded || world.directory_offset < minimum || busy {
             return None;
         }
-        let age = world.aged?.elapsed();
+        let age = world.directory_confirmed_at?.elapsed();
         let copy = Directory {
-            as_of: world.as_of,
+            as_of: world.directory_offset,
             age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
             entries: self.entries(world)?,
         };
@@ -98,14 +98,14 @@
 
     /// A copy of the configuration; `None` if this VM has no configuration, its version is too old,
     /// or too many copies are in flight.
-    pub(crate) fn config(&self, world: &World, query: Option<&str>) -> Option<Bytes> {
+    pub(crate) fn config(&self, world: &Routing, query: Option<&str>) -> Option<Bytes> {
         let outdated = world.table.as_ref()?.version < minimum(query);
         if outdated || self.in_flight.load(Ordering::Relaxed) >= MAX_CONCURRENT_COPIES {
             return None;
         }
         let copy = Config {
-            raw: world.raw.clone()?,
-            next: world.config_next?,
+            raw: world.redacted_config.clone()?,
+            next: world.next_config_offset?,
         };
         Some(self.count_body(rmp_serde::to_vec(&copy).ok()?))
     }
@@ -118,7 +118,7 @@
         })
     }
 
-    fn entries(&self, world: &World) -> Option<Bytes> {
+    fn entries(&self, world: &Routing) -> Option<Bytes> {
         let digest = world.directory.digest();
         let mut cached = self.entries.borrow_mut();
         if let Some((cached_digest, bytes)) = cached.as_ref()
--- a/src/gateway/world/copy_fetcher.rs
+++ b/src/gateway/world/copy_fetcher.rs
@@ -4,7 +4,7 @@
 use crate::gateway::world::relay::Relay;
 use crate::gateway::world::snapshot;
 use crate::gateway::world::sources::Sources;
-use crate::gateway::world::state::{World, replace_directory};
+use crate::gateway::world::state::{Routing, replace_directory};
 use crate::platform::store::Store;
 use crate::telemetry::event;
 use serde::de::DeserializeOwned;
@@ -38,7 +38,7 @@
 
 /// Fetches copies when they are needed: while nothing is known yet, after missed directory changes,
 /// and when another VM has a newer configuration.
-pub(super) async fn follow(sources: &Sources, relay: &Relay, worlds: &watch::Sender<World>) {
+pub(super) async fn follow(sources: &Sources, relay: &Relay, worlds: &watch::Sender<Routing>) {
     let fetcher = CopyFetcher::new(sources, relay, worlds);
     loop {
         let complete = worlds.borrow().is_complete();
@@ -68,14 +68,14 @@
 struct CopyFetcher<'a> {
     sources: &'a Sources,
     relay: &'a Relay,
-    worlds: &'a watch::Sender<World>,
+    worlds: &'a watch::Sender<Routing>,
     client: reqwest::Client,
     store: Store,
     started: Instant,
 }
 
 impl<'a> CopyFetcher<'a> {
-    fn new(sources: &'a Sources, relay: &'a Relay, worlds: &'a watch::Sender<World>) -> Self {
+    fn new(sources: &'a Sources, relay: &'a Relay, worlds: &'a watch::Sender<Routing>) -> Self {
         let client = reqwest::Client::builder()
             .timeout(FETCH_TIMEOUT)
             .connect_timeout(CONNECT_TIMEOUT)
@@ -93,14 +93,14 @@
     }
 
     fn needs_directory(&self) -> bool {
-        let listed = self.worlds.borrow().listed;
+        let listed = self.worlds.borrow().directory_loaded;
         let overdue = !self.relay.has_store.get() || self.started.elapsed() > DIRECTORY_COPY_DELAY;
         self.relay.wants_copy.get().is_some() || !listed && overdue
     }
 
     fn needs_config(&self) -> bool {
         let world = self.worlds.borrow();
-        let known = world.version();
+        let known = world.config_version();
         let announced = self
             .relay
             .told_config
@@ -149,14 +149,14 @@
     }
 
     async fn fetch_config(&self, address: SocketAddr) -> bool {
-        let known = self.worlds.borrow().version();
+        let known = self.worlds.borrow().config_version();
         let path = format!("{CONFIG_PATH}?{MIN_PARAMETER}={}", known + 1);
         let Some(copy) = self.get::<Config>(address, &path).await else {
             return false;
         };
         self.worlds.send_if_modified(|world| {
-            let changed = world.learn(&copy.raw, "peer");
-            world.config_next = world.config_next.max(Some(copy.next));
+            let changed = world.apply_config(&copy.raw, "peer");
+            world.next_config_offset = world.next_config_offset.max(Some(copy.next));
             changed
         });
         !self.needs_config()
@@ -228,7 +228,7 @@
         }
         if let Some(snapshot) = snapshot::from_store(&self.store).await {
             self.worlds
-                .send_if_modified(|world| world.learn_snapshot(snapshot));
+                .send_if_modified(|world| world.apply_snapshot(snapshot));
         }
     }
 }
--- a/src/gateway/world/directory.rs
+++ b/src/gateway/world/directory.rs
@@ -11,14 +11,14 @@
 ///
 /// A restarted server gets a new identity, so that connections, load, failures and cached prompts
 /// of the previous instance are not attributed to it.
-pub type Id = Arc<str>;
+pub type Instance = Arc<str>;
 
 /// A backend server as it registered itself.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "Registration", into = "Registration")]
 pub struct Entry {
     /// Identity of this instance.
-    pub id: Id,
+    pub id: Instance,
     /// Name of the server, which stays the same across restarts.
     pub name: Arc<str>,
     /// Start time of this instance in milliseconds since the Unix epoch; zero if unknown.
@@ -43,7 +43,7 @@
     fn from(registration: Registration) -> Self {
         let Registration(name, born_ms, service, address, zone, slots, draining) = registration;
         Self {
-            id: identity(&name, born_ms),
+            id: instance_id(&name, born_ms),
             name,
             born_ms,
             service,
@@ -94,10 +94,10 @@
 /// Returns the identity of the instance of server `name` that started at `born_ms`.
 ///
 /// ```
-/// assert_eq!(&*vanillatrail::gateway::directory::identity("s", 5), "s@5");
+/// assert_eq!(&*vanillatrail::gateway::directory::instance_id("s", 5), "s@5");
 /// ```
 #[must_use]
-pub fn identity(name: &str, born_ms: u64) -> Id {
+pub fn instance_id(name: &str, born_ms: u64) -> Instance {
     if born_ms == 0 {
         return name.into();
     }
@@ -113,9 +113,9 @@
 /// The registered backend servers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Directory {
-    entries: HashMap<Id, Arc<Entry>>,
+    entries: HashMap<Instance, Arc<Entry>>,
     /// The current instance of each server, by name.
-    instances: HashMap<Arc<str>, Id>,
+    instances: HashMap<Arc<str>, Instance>,
     /// XOR of the hashes of all entries, so that their order does not matter.
     digest: u64,
     /// Hashes of malformed records by server name, so that each is logged once.
@@ -127,19 +127,19 @@
 impl Directory {
     /// Whether applying `change` would have an effect.
     #[must_use]
-    pub fn differs(&self, change: &Change) -> bool {
+    pub fn would_change(&self, change: &Change) -> bool {
         match change {
             Change::Removed(name) => self.instances.contains_key(name),
             // A late record of a previous instance has no effect.
             Change::Set(entry) => self
-                .named(&entry.name)
+                .by_name(&entry.name)
                 .is_none_or(|known| known.born_ms <= entry.born_ms && known != entry),
         }
     }
 
     /// Applies a change and returns whether it had an effect.
     pub fn apply(&mut self, change: Change) -> bool {
-        if !self.differs(&change) {
+        if !self.would_change(&change) {
             return false;
         }
         if let Some(id) = self.instances.remove(change.name()) {
@@ -154,7 +154,7 @@
         true
     }
 
-    fn remove(&mut self, id: &Id) {
+    fn remove(&mut self, id: &Instance) {
         if let Some(entry) = self.entries.remove(id) {
             self.digest ^= digest(&entry);
         }
@@ -177,7 +177,7 @@
 
     /// The current instance of the server with this name.
     #[must_use]
-    pub fn named(&self, name: &str) -> Option<&Arc<Entry>> {
+    pub fn by_name(&self, name: &str) -> Option<&Arc<Entry>> {
         self.entries.get(self.instances.get(name)?)
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// The servers of a service, including draining ones.
-    pub fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Arc<Entry>> {
+    pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Arc<Entry>> {
         self.entries
             .values()
             .filter(move |entry| entry.service == service)
--- a/src/gateway/world/feed.rs
+++ b/src/gateway/world/feed.rs
@@ -5,9 +5,9 @@
 use crate::gateway::world::reader::Reader;
 use crate::gateway::world::relay::{Heard, Relay};
 use crate::gateway::world::sources::Sources;
-use crate::gateway::world::state::World;
+use crate::gateway::world::state::Routing;
 use crate::platform::records::{CONFIG_KEY, CONFIG_TOPIC};
-use crate::platform::store::{Fault, Store};
+use crate::platform::store::{Error, Store};
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
@@ -24,7 +24,7 @@
     sources: Sources,
     socket: std::net::UdpSocket,
     key: String,
-    worlds: watch::Sender<World>,
+    worlds: watch::Sender<Routing>,
 ) {
     let socket = UdpSocket::from_std(socket).expect("the socket is bound and non-blocking");
     let relay = Relay::new(socket, &key, sources.period(), worlds.clone());
@@ -37,7 +37,7 @@
     );
 }
 
-async fn follow_config(sources: &Sources, relay: &Relay, worlds: &watch::Sender<World>) {
+async fn follow_config(sources: &Sources, relay: &Relay, worlds: &watch::Sender<Routing>) {
     let period = sources.period();
     let mut store = Store::new(sources.store);
     let mut health = Health::new("config");
@@ -45,10 +45,10 @@
         let started = Instant::now();
         // While another VM's copy is being fetched, a read would only add load on the store.
         let announced = relay.told_config.get();
-        let known = worlds.borrow().version();
+        let known = worlds.borrow().config_version();
         let copy_pending = announced
             .is_some_and(|(version, at)| version > known && known > 0 && at.elapsed() < period);
-        let last_read = worlds.borrow().heard;
+        let last_read = worlds.borrow().last_store_read;
         if copy_pending && last_read.is_some_and(|at| at.elapsed() < MAX_READ_AGE) {
             sleep(RETRY_DELAY).await;
             continue;
@@ -60,14 +60,14 @@
                 }
                 relay.has_store.set(true);
                 worlds.send_if_modified(|world| {
-                    world.heard = world.heard.max(Some(started));
+                    world.last_store_read = world.last_store_read.max(Some(started));
                     false
                 });
                 sleep(period.saturating_sub(started.elapsed())).await;
             }
-            Err(Fault::Trimmed(_)) => {
+            Err(Error::Trimmed(_)) => {
                 worlds.send_if_modified(|world| {
-                    world.config_next = None;
+                    world.next_config_offset = None;
                     false
                 });
             }
@@ -79,23 +79,23 @@
     }
 }
 
-async fn read_config(store: &Store, worlds: &watch::Sender<World>) -> Result<(), Fault> {
-    let next = worlds.borrow().config_next;
+async fn read_config(store: &Store, worlds: &watch::Sender<Routing>) -> Result<(), Error> {
+    let next = worlds.borrow().next_config_offset;
     let (next, records) = if let Some(from) = next {
         let page = store.read(CONFIG_TOPIC, 0, from, Duration::ZERO).await?;
         let records = page.records.into_iter().map(|(_, record)| record);
         (page.next, records.collect())
     } else {
-        let newest = store.newest(CONFIG_TOPIC, 0).await?;
+        let newest = store.read_latest(CONFIG_TOPIC, 0).await?;
         (newest.end, newest.records)
     };
     worlds.send_if_modified(|world| {
         let mut changed = false;
         let configs = records.iter().filter(|record| record.key == CONFIG_KEY);
         for value in configs.filter_map(|record| record.value.as_ref()) {
-            changed |= world.learn(value, "store");
+            changed |= world.apply_config(value, "store");
         }
-        world.config_next = world.config_next.max(Some(next));
+        world.next_config_offset = world.next_config_offset.max(Some(next));
         changed
     });
     Ok(())
@@ -111,7 +111,7 @@
         // A VM that knows few others would elect itself as the reader. Discovery needs the store,
         // hence the timeout.
         let peers_known =
-            *sources.introduced.borrow() || follow_started.elapsed() > PEER_DISCOVERY_TIMEOUT;
+            *sources.peers_known.borrow() || follow_started.elapsed() > PEER_DISCOVERY_TIMEOUT;
         match relay.hear(&peers, may_read).await {
             Heard::News => reader.deactivate(),
             Heard::More => continue,
--- a/src/gateway/world/health.rs
+++ b/src/gateway/world/health.rs
@@ -1,6 +1,6 @@
 //! Tracks store outages as seen by one of the tasks that read the store.
 
-use crate::platform::store::{Fault, Store};
+use crate::platform::store::{Error, Store};
 use crate::telemetry::event;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
@@ -41,12 +41,12 @@
     }
 
     /// Records a failed call and waits for the backoff. Reconnects if the call was not answered.
-    pub(super) async fn record_failure(&mut self, fault: &Fault, store: &mut Store) {
+    pub(super) async fn record_failure(&mut self, fault: &Error, store: &mut Store) {
         if self.lost_at.is_none() {
             self.lost_at = Some(Instant::now());
             event!(warn, "store_lost", for_what = self.data, reason = fault);
         }
-        if matches!(fault, Fault::Unknown(_)) {
+        if matches!(fault, Error::OutcomeUnknown(_)) {
             store.reconnect();
         }
         sleep(self.backoff).await;
--- a/src/gateway/world/reader.rs
+++ b/src/gateway/world/reader.rs
@@ -5,7 +5,7 @@
 use crate::gateway::world::state::{apply_all, apply_record};
 use crate::id::Offset;
 use crate::platform::records::DIRECTORY_TOPIC;
-use crate::platform::store::{Fault, Store};
+use crate::platform::store::{Error, Store};
 use crate::telemetry::event;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -71,7 +71,7 @@
                 }
                 true
             }
-            Err(Fault::Trimmed(_)) => {
+            Err(Error::Trimmed(_)) => {
                 self.next = None;
                 true
             }
@@ -96,7 +96,7 @@
         self.next = None;
     }
 
-    async fn read_pending(&mut self, relay: &Relay) -> Result<(), Fault> {
+    async fn read_pending(&mut self, relay: &Relay) -> Result<(), Error> {
         let keep_missing = self
             .keep_missing_until
             .is_some_and(|until| Instant::now() < until);
@@ -106,10 +106,10 @@
             self.next = None;
         }
         let Some(mut from) = self.next else {
-            let newest = self.store.newest(DIRECTORY_TOPIC, 0).await?;
+            let newest = self.store.read_latest(DIRECTORY_TOPIC, 0).await?;
             self.next = Some(newest.end);
             relay.replace(newest.end, |world| {
-                let initial = !world.listed;
+                let initial = !world.directory_loaded;
                 let changes = apply_all(world, &newest.records, keep_missing);
                 if initial {
                     // Replaces one log line per server.
--- a/src/gateway/world/relay/answer.rs
+++ b/src/gateway/world/relay/answer.rs
@@ -59,19 +59,22 @@
         };
         let few = world.changes.count_after(since) <= MANY;
         let part = few.then(|| world.changes.after(since, fits)).flatten();
-        let whole = part.as_ref().is_none_or(|part| part.whole);
-        let age = world.aged.filter(|_| world.listed).map(|at| at.elapsed());
+        let whole = part.as_ref().is_none_or(|part| part.complete);
+        let age = world
+            .directory_confirmed_at
+            .filter(|_| world.directory_loaded)
+            .map(|at| at.elapsed());
         News {
             since,
             until: part
                 .as_ref()
-                .filter(|part| !part.whole)
-                .map_or(world.as_of, |part| part.until),
+                .filter(|part| !part.complete)
+                .map_or(world.directory_offset, |part| part.end),
             age_ms: age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             has_store: self.has_store.get(),
             digest: whole.then(|| world.directory.digest()),
             changes: part.map(|part| part.changes),
-            config: world.version(),
+            config: world.config_version(),
         }
     }
 
@@ -92,8 +95,8 @@
         while world.changed().await.is_ok() {
             let newest = {
                 let world = world.borrow_and_update();
-                let version = world.version();
-                (world.changes.newest(), version)
+                let version = world.config_version();
+                (world.changes.newest_offset(), version)
             };
             let before = std::mem::replace(&mut told, newest);
             // The first directory, or a copy, is nothing to tell: whoever follows asks for it.
--- a/src/gateway/world/relay/ask.rs
+++ b/src/gateway/world/relay/ask.rs
@@ -69,13 +69,13 @@
 
     /// The VM from which this one heard last.
     pub(in crate::gateway::world) fn source(&self) -> Option<SocketAddr> {
-        self.worlds.borrow().source
+        self.worlds.borrow().directory_source
     }
 
     fn note_source(&self, source: Option<SocketAddr>) {
         let mut before = source;
         self.worlds.send_if_modified(|world| {
-            before = std::mem::replace(&mut world.source, source);
+            before = std::mem::replace(&mut world.directory_source, source);
             false
         });
         if before != source {
@@ -146,7 +146,7 @@
     }
 
     fn note_config(&self, version: u64) {
-        let known = self.worlds.borrow().version();
+        let known = self.worlds.borrow().config_version();
         let told = self.told_config.get().map_or(0, |(told, _)| told);
         if version > known.max(told) {
             self.told_config.set(Some((version, Instant::now())));
--- a/src/gateway/world/relay/mod.rs
+++ b/src/gateway/world/relay/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::gateway::world::directory::Change;
 use crate::gateway::world::sources::Sources;
-use crate::gateway::world::state::World;
+use crate::gateway::world::state::Routing;
 use crate::id::Offset;
 use crate::member::Sealer;
 use crate::policy::relay::is_fresh;
@@ -51,7 +51,7 @@
 pub(super) struct Relay {
     socket: UdpSocket,
     sealer: Sealer,
-    worlds: watch::Sender<World>,
+    worlds: watch::Sender<Routing>,
     period: Duration,
     began: Instant,
     numbers: Cell<u64>,
@@ -80,7 +80,7 @@
         socket: UdpSocket,
         key: &str,
         period: Duration,
-        worlds: watch::Sender<World>,
+        worlds: watch::Sender<Routing>,
     ) -> Self {
         Self {
             socket,
@@ -105,19 +105,19 @@
     /// What the directory stands for; none where it is not known yet.
     pub(super) fn as_of(&self) -> Option<Offset> {
         let world = self.worlds.borrow();
-        world.listed.then_some(world.as_of)
+        world.directory_loaded.then_some(world.directory_offset)
     }
 
     /// Whether the directory is what the store says now.
     pub(super) fn is_fresh(&self) -> bool {
-        let aged = self.worlds.borrow().aged;
+        let aged = self.worlds.borrow().directory_confirmed_at;
         aged.is_some_and(|aged| is_fresh(aged.elapsed(), self.period))
     }
 
     /// The directory is what the store said at this time.
     pub(super) fn aged(&self, at: Instant) {
         self.worlds.send_if_modified(|world| {
-            world.aged = world.aged.max(Some(at));
+            world.directory_confirmed_at = world.directory_confirmed_at.max(Some(at));
             false
         });
     }
@@ -126,13 +126,13 @@
     pub(super) fn update(
         &self,
         until: Offset,
-        change: impl FnOnce(&mut World) -> Vec<(Offset, Change)>,
+        change: impl FnOnce(&mut Routing) -> Vec<(Offset, Change)>,
     ) {
         self.worlds.send_if_modified(|world| {
-            let first = !world.listed;
+            let first = !world.directory_loaded;
             let noted = change(world);
-            world.as_of = until;
-            if first && world.listed {
+            world.directory_offset = until;
+            if first && world.directory_loaded {
                 world.changes.restart(until);
                 return true;
             }
@@ -145,7 +145,7 @@
     }
 
     /// Changes the directory to what was read as a whole.
-    pub(super) fn replace(&self, until: Offset, change: impl FnOnce(&mut World) -> Vec<Change>) {
+    pub(super) fn replace(&self, until: Offset, change: impl FnOnce(&mut Routing) -> Vec<Change>) {
         let known = self.as_of();
         self.update(until, |world| spread(known, until, change(world)));
     }
@@ -154,7 +154,7 @@
     pub(super) fn take_copy(
         &self,
         until: Offset,
-        change: impl FnOnce(&mut World) -> Vec<Change>,
+        change: impl FnOnce(&mut Routing) -> Vec<Change>,
     ) -> bool {
         if self.as_of().is_some_and(|known| until < known) {
             return false;
@@ -172,13 +172,13 @@
 
     /// The VMs to ask now, and whether this one reads the store where none of them helps.
     pub(super) fn sources(&self, sources: &Sources) -> (Vec<SocketAddr>, bool) {
-        let order = sources.relays();
+        let order = sources.relay_order();
         let has_store = self.has_store.get();
         // The first one goes on trying: the partition of the directory may be there where others are not.
         let reads = order.before.is_empty() || order.reads && has_store;
         let mut asked = order.before;
         if !order.reads || !has_store {
-            asked.extend(sources.some_relays(AT_RANDOM));
+            asked.extend(sources.random_relays(AT_RANDOM));
         }
         (asked, reads)
     }
--- a/src/gateway/world/snapshot.rs
+++ b/src/gateway/world/snapshot.rs
@@ -5,9 +5,9 @@
 
 use crate::gateway::Gateway;
 use crate::gateway::world::directory::Entry;
-use crate::gateway::world::state::World;
+use crate::gateway::world::state::Routing;
 use crate::platform::records::SNAPSHOT_TOPIC;
-use crate::platform::store::{Keyed, Store};
+use crate::platform::store::{Record, Store};
 use crate::telemetry::event;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -38,8 +38,11 @@
 
 impl Snapshot {
     /// The snapshot of `world`; `None` unless both the configuration and the directory are known.
-    fn of(world: &World) -> Option<Self> {
-        let raw = world.raw.as_ref().filter(|_| world.listed)?;
+    fn of(world: &Routing) -> Option<Self> {
+        let raw = world
+            .redacted_config
+            .as_ref()
+            .filter(|_| world.directory_loaded)?;
         Some(Self {
             config: STANDARD.encode(raw),
             servers: world.directory.iter().map(Arc::clone).collect(),
@@ -56,7 +59,7 @@
 }
 
 /// Keeps the snapshots in the store up to date, on the VM that the membership elects for it.
-pub(crate) async fn keep(gateway: Rc<Gateway>) {
+pub(crate) async fn publish(gateway: Rc<Gateway>) {
     let store = Store::new(gateway.settings.store.address);
     let mut written = None;
     loop {
@@ -93,7 +96,7 @@
     if value.is_none() {
         event!(warn, "snapshot_too_large");
     }
-    let record = Keyed {
+    let record = Record {
         key: SNAPSHOT_KEY.to_owned(),
         value: value.map(Bytes::from),
     };
@@ -118,7 +121,7 @@
 /// Reads the snapshot from the first partition that answers with one.
 pub(crate) async fn from_store(store: &Store) -> Option<Snapshot> {
     for partition in PARTITIONS {
-        let Ok(newest) = store.newest(SNAPSHOT_TOPIC, partition).await else {
+        let Ok(newest) = store.read_latest(SNAPSHOT_TOPIC, partition).await else {
             continue;
         };
         let record = newest
--- a/src/gateway/world/sources.rs
+++ b/src/gateway/world/sources.rs
@@ -1,6 +1,6 @@
 //! The sources of the configuration and the directory, and how often they are read.
 
-use crate::gateway::world::state::World;
+use crate::gateway::world::state::Routing;
 use crate::id;
 use crate::member::View;
 use crate::policy::copies::{Holder, order};
@@ -36,11 +36,11 @@
     /// Time bounds within which changes must be applied.
     pub(crate) bounds: settings::Bounds,
     /// Whether peer discovery has found the other VMs.
-    pub(crate) introduced: watch::Receiver<bool>,
+    pub(crate) peers_known: watch::Receiver<bool>,
 }
 
 /// The address on which a member exchanges directory datagrams: two ports above its membership port.
-pub(crate) fn address(member: SocketAddr) -> SocketAddr {
+pub(crate) fn relay_address(member: SocketAddr) -> SocketAddr {
     SocketAddr::new(member.ip(), member.port() + 2)
 }
 
@@ -52,14 +52,14 @@
     }
 
     /// The VMs that this one asks for directory changes, in order.
-    pub(super) fn relays(&self) -> relay::Order {
+    pub(super) fn relay_order(&self) -> relay::Order {
         let view = self.view.borrow();
         let members = view.members.values();
         let members = members.filter(|member| !member.suspect || member.vm == self.vm);
         let peers: Vec<relay::Peer> = members
             .map(|member| relay::Peer {
                 vm: member.vm.clone(),
-                address: address(member.address),
+                address: relay_address(member.address),
                 zone: member.zone.clone(),
                 cores: member.cores,
             })
@@ -68,17 +68,17 @@
     }
 
     /// Up to `count` random other VMs to ask for directory changes.
-    pub(super) fn some_relays(&self, count: usize) -> Vec<SocketAddr> {
+    pub(super) fn random_relays(&self, count: usize) -> Vec<SocketAddr> {
         let view = self.view.borrow();
         let members = view.members.values();
         let others = members.filter(|member| !member.suspect && member.vm != self.vm);
-        let others = others.map(|member| address(member.address));
+        let others = others.map(|member| relay_address(member.address));
         others.sample(&mut rand::rng(), count)
     }
 
     /// Whether another VM has applied a newer configuration.
-    pub(super) fn is_behind(&self, world: &World) -> bool {
-        let known = world.version();
+    pub(super) fn is_behind(&self, world: &Routing) -> bool {
+        let known = world.config_version();
         self.view.borrow().newest.0 > known
     }
 
--- a/src/gateway/world/state.rs
+++ b/src/gateway/world/state.rs
@@ -6,8 +6,8 @@
 use crate::gateway::world::table::Table;
 use crate::gateway::world::team::Teams;
 use crate::id::Offset;
-use crate::platform::records::{server, table, without_keys};
-use crate::platform::store::Keyed;
+use crate::platform::records::{decode_config, decode_server, redact_keys};
+use crate::platform::store::Record;
 use crate::telemetry::event;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -17,67 +17,67 @@
 
 /// The configuration and the server directory, as published to the other threads.
 #[derive(Debug, Clone)]
-pub(crate) struct World {
+pub(crate) struct Routing {
     /// The newest configuration; `None` until one is known.
     pub(crate) table: Option<Arc<Table>>,
     pub(crate) directory: Arc<Directory>,
     /// The encoded configuration without API keys, for copies.
-    pub(crate) raw: Option<bytes::Bytes>,
+    pub(crate) redacted_config: Option<bytes::Bytes>,
     /// Start of the newest configuration read that the store answered. These reads do not wait for
     /// a change, so the store was reachable at that time.
-    pub(crate) heard: Option<Instant>,
+    pub(crate) last_store_read: Option<Instant>,
     /// Whether the directory has been read or copied at least once.
-    pub(crate) listed: bool,
+    pub(crate) directory_loaded: bool,
     /// The newest changes to the directory.
     pub(crate) changes: Changes,
     /// The store offset that the directory reflects.
-    pub(crate) as_of: Offset,
+    pub(crate) directory_offset: Offset,
     /// When the store last confirmed the content of the directory, here or at the VM followed.
-    pub(crate) aged: Option<Instant>,
+    pub(crate) directory_confirmed_at: Option<Instant>,
     /// The VM from which directory changes come; `None` if this one reads the store.
-    pub(crate) source: Option<SocketAddr>,
+    pub(crate) directory_source: Option<SocketAddr>,
     /// Offset of the next configuration record to read; `None` to read the latest one.
-    pub(crate) config_next: Option<Offset>,
+    pub(crate) next_config_offset: Option<Offset>,
     log_limiter: LogLimiter,
 }
 
-impl World {
+impl Routing {
     pub(crate) fn empty() -> Self {
         Self {
             table: None,
             directory: Arc::default(),
-            raw: None,
-            heard: None,
-            listed: false,
+            redacted_config: None,
+            last_store_read: None,
+            directory_loaded: false,
             changes: Changes::default(),
-            as_of: Offset(0),
-            aged: None,
-            source: None,
-            config_next: None,
+            directory_offset: Offset(0),
+            directory_confirmed_at: None,
+            directory_source: None,
+            next_config_offset: None,
             log_limiter: LogLimiter::default(),
         }
     }
 
     /// The version of the configuration; zero if none is known.
-    pub(crate) fn version(&self) -> u64 {
+    pub(crate) fn config_version(&self) -> u64 {
         self.table.as_ref().map_or(0, |table| table.version)
     }
 
     /// Whether both the configuration and the directory are known, so that requests can be routed.
     pub(crate) fn is_complete(&self) -> bool {
-        self.table.is_some() && self.listed
+        self.table.is_some() && self.directory_loaded
     }
 
     /// Applies a snapshot from the store and returns whether anything changed.
     ///
     /// Its directory may list servers that have left since, so it is used only if none is known.
-    pub(crate) fn learn_snapshot(&mut self, snapshot: Snapshot) -> bool {
+    pub(crate) fn apply_snapshot(&mut self, snapshot: Snapshot) -> bool {
         let from = "copy";
         let mut changed = false;
         if let Some(config) = snapshot.config() {
-            changed |= self.learn(&config, from);
+            changed |= self.apply_config(&config, from);
         }
-        if !self.listed {
+        if !self.directory_loaded {
             let entries = snapshot.servers;
             event!(
                 info,
@@ -91,18 +91,18 @@
     }
 
     /// Applies a configuration if it is newer than the known one, and returns whether it was.
-    pub(crate) fn learn(&mut self, raw: &bytes::Bytes, from: &str) -> bool {
-        if self.raw.as_ref() == Some(raw) {
+    pub(crate) fn apply_config(&mut self, raw: &bytes::Bytes, from: &str) -> bool {
+        if self.redacted_config.as_ref() == Some(raw) {
             return false;
         }
-        let table = match table(raw) {
+        let table = match decode_config(raw) {
             Ok(table) => table,
             Err(reason) => {
                 event!(error, "config_refused", from = from, reason = reason);
                 return false;
             }
         };
-        let known = self.version();
+        let known = self.config_version();
         // A read in flight or a lagging peer may deliver an older version.
         if self.table.is_some() && table.version <= known {
             return false;
@@ -117,7 +117,7 @@
             from = from
         );
         self.table = Some(Arc::new(table));
-        self.raw = match without_keys(raw) {
+        self.redacted_config = match redact_keys(raw) {
             Ok(raw) => Some(raw),
             Err(error) => {
                 event!(warn, "config_not_copied", from = from, reason = error);
@@ -130,8 +130,12 @@
 
 /// Applies the latest records of all servers and returns what changed. Servers without a record are
 /// removed unless `keep_missing` is set.
-pub(super) fn apply_all(world: &mut World, records: &[Keyed], keep_missing: bool) -> Vec<Change> {
-    let initial = !world.listed;
+pub(super) fn apply_all(
+    world: &mut Routing,
+    records: &[Record],
+    keep_missing: bool,
+) -> Vec<Change> {
+    let initial = !world.directory_loaded;
     let mut changes: Vec<Change> = records
         .iter()
         .filter_map(|record| apply_record(world, record, initial))
@@ -141,13 +145,13 @@
     if !keep_missing {
         changes.extend(remove_missing(world, |name| present.contains(name)));
     }
-    world.listed = true;
+    world.directory_loaded = true;
     changes
 }
 
 /// Replaces the directory with a copy and returns what changed.
-pub(super) fn replace_directory(world: &mut World, entries: Vec<Arc<Entry>>) -> Vec<Change> {
-    let initial = !world.listed;
+pub(super) fn replace_directory(world: &mut Routing, entries: Vec<Arc<Entry>>) -> Vec<Change> {
+    let initial = !world.directory_loaded;
     let present: HashSet<Arc<str>> = entries
         .iter()
         .map(|entry| Arc::clone(&entry.name))
@@ -160,11 +164,11 @@
         }
     }
     changes.extend(remove_missing(world, |name| present.contains(name)));
-    world.listed = true;
+    world.directory_loaded = true;
     changes
 }
 
-fn remove_missing(world: &mut World, is_present: impl Fn(&str) -> bool) -> Vec<Change> {
+fn remove_missing(world: &mut Routing, is_present: impl Fn(&str) -> bool) -> Vec<Change> {
     let entries = world.directory.iter();
     let missing: Vec<Change> = entries
         .filter(|entry| !is_present(&entry.name))
@@ -177,8 +181,8 @@
 }
 
 /// Applies one record and returns the change, if any. Changes of the `initial` read are not logged.
-pub(super) fn apply_record(world: &mut World, record: &Keyed, initial: bool) -> Option<Change> {
-    let change = match server(record) {
+pub(super) fn apply_record(world: &mut Routing, record: &Record, initial: bool) -> Option<Change> {
+    let change = match decode_server(record) {
         Ok(change) => change,
         Err(reason) => {
             // A malformed record makes only its own server unusable.
@@ -194,14 +198,14 @@
 
 /// Applies one change and returns whether it had an effect. Changes of the `initial` read are not
 /// logged.
-pub(super) fn apply_change(world: &mut World, change: &Change, initial: bool) -> bool {
-    if !world.directory.differs(change) {
+pub(super) fn apply_change(world: &mut Routing, change: &Change, initial: bool) -> bool {
+    if !world.directory.would_change(change) {
         return false;
     }
-    let before = world.directory.named(change.name()).cloned();
+    let before = world.directory.by_name(change.name()).cloned();
     Arc::make_mut(&mut world.directory).apply(change.clone());
     if !initial && world.log_limiter.allow(Instant::now()) {
-        log_change(before, world.directory.named(change.name()));
+        log_change(before, world.directory.by_name(change.name()));
     }
     true
 }
--- a/src/gateway/world/table.rs
+++ b/src/gateway/world/table.rs
@@ -72,7 +72,7 @@
     /// Longest time until the response is complete.
     pub timeout: Duration,
     /// Latency objective (SLO) of the route; zero if none is configured.
-    pub objective: Duration,
+    pub latency_target: Duration,
     /// Maximum number of backend servers that one request is tried on.
     pub attempts: u32,
     /// Scheduling priority; 0 is the highest.
@@ -82,9 +82,9 @@
     /// Whether a broken stream may be resumed on another backend server.
     pub resumable: bool,
     /// Whether the gateway stores the conversation history, so that callers send only the new turn.
-    pub keeps_turns: bool,
+    pub stores_history: bool,
     /// How long a program may stay idle between two turns; `None` for the default.
-    pub program_idle: Option<Duration>,
+    pub program_idle_timeout: Option<Duration>,
     /// Whether requests need no API key.
     pub public: bool,
 }
@@ -102,7 +102,7 @@
 
     /// Picks a target by weight; `draw` is uniform over all `u64` values. `None` without targets.
     #[must_use]
-    pub fn service(&self, draw: u64) -> Option<&str> {
+    pub fn pick_service(&self, draw: u64) -> Option<&str> {
         let total: f64 = self.targets.iter().map(|target| target.weight).sum();
         let mut remaining = draw as f64 / u64::MAX as f64 * total;
         for target in &self.targets {
@@ -130,7 +130,7 @@
     /// Requests that one engine processes in a batch.
     pub slots: usize,
     /// Capacity of one engine's KV cache, in tokens.
-    pub memory_tokens: u64,
+    pub cache_tokens: u64,
     /// Tokens per event of a response stream.
     pub tokens_per_event: u64,
 }
@@ -139,19 +139,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sizes {
     /// Maximum size of the request line and headers.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Maximum size of a request body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time after which an idle keep-alive connection is closed.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Sizes {
     fn default() -> Self {
         Self {
-            head_bytes: 16_384,
-            body_bytes: 4 << 20,
-            idle: Duration::from_secs(15),
+            max_head_bytes: 16_384,
+            max_body_bytes: 4 << 20,
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -166,7 +166,7 @@
     /// Services by name.
     pub services: HashMap<String, Service>,
     /// Limits on callers' requests and connections.
-    pub sizes: Sizes,
+    pub request_limits: Sizes,
     /// The teams that may send requests; `None` if requests need no API key.
     pub teams: Option<Teams>,
 }
@@ -178,7 +178,7 @@
         version: u64,
         routes: Vec<Route>,
         services: HashMap<String, Service>,
-        sizes: Sizes,
+        request_limits: Sizes,
     ) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -192,7 +192,7 @@
             version,
             routes: hosts,
             services,
-            sizes,
+            request_limits,
             teams: None,
         }
     }
--- a/src/gateway/world/team.rs
+++ b/src/gateway/world/team.rs
@@ -69,8 +69,8 @@
 /// use vanillatrail::gateway::team::{Fingerprint, Team, Teams};
 /// let team = Team { name: "payroll".into(), rank: None, limit: None };
 /// let teams = Teams::new([(team, vec![Fingerprint::of(b"a key")])]);
-/// assert_eq!(&*teams.holder(b"a key").unwrap().name, "payroll");
-/// assert!(teams.holder(b"another").is_none());
+/// assert_eq!(&*teams.by_key(b"a key").unwrap().name, "payroll");
+/// assert!(teams.by_key(b"another").is_none());
 /// ```
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Teams {
@@ -95,13 +95,13 @@
 
     /// The team that an API key belongs to.
     #[must_use]
-    pub fn holder(&self, key: &[u8]) -> Option<&Arc<Team>> {
+    pub fn by_key(&self, key: &[u8]) -> Option<&Arc<Team>> {
         self.by_key.get(&Fingerprint::of(key))
     }
 
     /// The team with this name.
     #[must_use]
-    pub fn named(&self, name: &str) -> Option<&Arc<Team>> {
+    pub fn by_name(&self, name: &str) -> Option<&Arc<Team>> {
         self.by_name.get(name)
     }
 
@@ -128,14 +128,14 @@
 /// long name is replaced by its fingerprint.
 ///
 /// ```
-/// use vanillatrail::gateway::team::scoped;
-/// assert_eq!(scoped(Some("payroll"), "p1"), "payroll/p1");
-/// assert_ne!(scoped(Some("a"), "b/c"), scoped(Some("a/b"), "c"));
-/// assert_eq!(scoped(None, "p1"), "p1");
-/// assert!(scoped(None, &"p".repeat(9000)).len() < 200);
+/// use vanillatrail::gateway::team::scoped_name;
+/// assert_eq!(scoped_name(Some("payroll"), "p1"), "payroll/p1");
+/// assert_ne!(scoped_name(Some("a"), "b/c"), scoped_name(Some("a/b"), "c"));
+/// assert_eq!(scoped_name(None, "p1"), "p1");
+/// assert!(scoped_name(None, &"p".repeat(9000)).len() < 200);
 /// ```
 #[must_use]
-pub fn scoped(team: Option<&str>, name: &str) -> String {
+pub fn scoped_name(team: Option<&str>, name: &str) -> String {
     let prefix = team
         .map(|team| percent_encode(team) + "/")
         .unwrap_or_default();
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -68,25 +68,25 @@
     /// Request ID; a caller's retry has an ID of its own.
     pub(crate) id: String,
     /// How long the caller waits for the response.
-    pub(crate) wait: Option<Duration>,
+    pub(crate) timeout: Option<Duration>,
     /// The program that the request belongs to.
     pub(crate) program: Option<String>,
     /// The session within the program.
-    pub(crate) line: Option<String>,
+    pub(crate) session: Option<String>,
     /// Milliseconds until the whole program should be finished; negative if it is late.
     pub(crate) finish_ms: Option<i64>,
     /// Token budget for all turns of the program.
-    pub(crate) budget: Option<u64>,
+    pub(crate) token_budget: Option<u64>,
     /// Maximum number of tokens that this turn generates.
-    pub(crate) most_tokens: u64,
+    pub(crate) max_tokens: u64,
     /// The leading parts of the prompt.
-    pub(crate) prompt: Vec<Part>,
+    pub(crate) prompt_parts: Vec<Part>,
     /// The last event that the caller has received, when it resumes a stream.
     pub(crate) last_event: Option<u64>,
     /// The turn that this request continues.
     pub(crate) prev_turn: Option<String>,
     /// Name under which this request's turn is stored: the request ID, scoped to the team if any.
-    pub(crate) turn: String,
+    pub(crate) turn_name: String,
 }
 
 fn header_text(headers: &HeaderMap, name: &HeaderName) -> Option<String> {
@@ -122,15 +122,15 @@
             .and_then(|part| part.trim().parse().ok());
         let id = header_text(headers, &REQUEST_ID).unwrap_or_default();
         Self {
-            turn: id.clone(),
+            turn_name: id.clone(),
             id,
-            wait: header_number(headers, &DEADLINE).map(Duration::from_millis),
+            timeout: header_number(headers, &DEADLINE).map(Duration::from_millis),
             program: header_text(headers, &PROGRAM),
-            line: header_text(headers, &SESSION),
+            session: header_text(headers, &SESSION),
             finish_ms: header_text(headers, &FINISH).and_then(|text| text.parse().ok()),
-            budget: header_number(headers, &TOKEN_BUDGET),
-            most_tokens: max_tokens.unwrap_or_default(),
-            prompt: prompt_parts(headers),
+            token_budget: header_number(headers, &TOKEN_BUDGET),
+            max_tokens: max_tokens.unwrap_or_default(),
+            prompt_parts: prompt_parts(headers),
             last_event: header_number(headers, &LAST_EVENT_ID),
             prev_turn: headers.get(&PREV_TURN).map(|value| {
                 let text = value.to_str().unwrap_or_default();
@@ -142,13 +142,13 @@
 
 /// Removes the API key from the headers, so that it is not forwarded. `None` unless there is exactly
 /// one.
-pub(crate) fn take_key(headers: &mut HeaderMap) -> Option<HeaderValue> {
+pub(crate) fn take_api_key(headers: &mut HeaderMap) -> Option<HeaderValue> {
     let several = headers.get_all(API_KEY).iter().count() > 1;
     headers.remove(API_KEY).filter(|_| !several)
 }
 
 /// Whether the message length is ambiguous, which would allow request smuggling.
-pub(crate) fn ambiguous(headers: &HeaderMap) -> bool {
+pub(crate) fn has_ambiguous_framing(headers: &HeaderMap) -> bool {
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let encodings = headers.get_all(TRANSFER_ENCODING).iter().count();
     lengths > 1 || encodings > 1 || (lengths == 1 && encodings == 1)
@@ -172,7 +172,7 @@
 }
 
 /// The headers of a request as sent to a backend server; `left` is the time until its deadline.
-pub(crate) fn request(
+pub(crate) fn backend_request_headers(
     headers: &HeaderMap,
     server: &str,
     team: Option<&str>,
@@ -209,7 +209,7 @@
 }
 
 /// The headers of a response as sent to the caller.
-pub(crate) fn answer(headers: &HeaderMap) -> HeaderMap {
+pub(crate) fn caller_response_headers(headers: &HeaderMap) -> HeaderMap {
     end_to_end(headers)
 }
 
@@ -219,7 +219,7 @@
     clippy::struct_excessive_bools,
     reason = "each is a header that is there or not"
 )]
-pub(crate) struct Verdict {
+pub(crate) struct Response {
     /// ID of the request that the response belongs to.
     pub(crate) id: Option<String>,
     /// Whether the response has the server's seal.
@@ -229,17 +229,17 @@
     /// Whether an intermediary has encoded the body.
     pub(crate) encoded: bool,
     /// Time after which the server closes the connection if it is idle.
-    pub(crate) keep: Option<Duration>,
+    pub(crate) keep_alive: Option<Duration>,
     /// Whether the server closes the connection after this response.
     pub(crate) closes: bool,
     /// The load that the server reports.
     pub(crate) load: Option<Load>,
 }
 
-impl Verdict {
+impl Response {
     pub(crate) fn of(headers: &HeaderMap) -> Self {
-        let keep_alive = header_text(headers, &KEEP_ALIVE).unwrap_or_default();
-        let keep = keep_alive.split(',').find_map(|part| {
+        let keep_alive_header = header_text(headers, &KEEP_ALIVE).unwrap_or_default();
+        let keep_alive = keep_alive_header.split(',').find_map(|part| {
             let seconds = part.trim().strip_prefix("timeout=")?;
             seconds.parse().ok().map(Duration::from_secs)
         });
@@ -249,7 +249,7 @@
             sealed: headers.contains_key(SERVER_SEAL),
             not_run: headers.contains_key(NOT_RUN),
             encoded: headers.contains_key(CONTENT_ENCODING),
-            keep,
+            keep_alive,
             closes: connection.to_ascii_lowercase().contains("close"),
             load: header_text(headers, &SERVER_LOAD).and_then(|text| parse_load(&text)),
         }
@@ -265,13 +265,13 @@
 }
 
 /// The header that repeats the request ID in a response that the gateway generates.
-pub(crate) fn echo(id: &str) -> Option<(HeaderName, HeaderValue)> {
+pub(crate) fn request_id_header(id: &str) -> Option<(HeaderName, HeaderValue)> {
     let value = HeaderValue::from_str(id).ok()?;
     (!id.is_empty()).then_some((REQUEST_ID, value))
 }
 
 /// The `Retry-After` header, with fractional seconds.
-pub(crate) fn come_back(after: Duration) -> (HeaderName, HeaderValue) {
+pub(crate) fn retry_after(after: Duration) -> (HeaderName, HeaderValue) {
     let value = HeaderValue::from_str(&format!("{:.2}", after.as_secs_f64()));
     (RETRY_AFTER, value.unwrap_or(HeaderValue::from_static("1")))
 }
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -1,6 +1,6 @@
 //! HTTP client of the log service.
 
-use super::{Entry, Fault, Log, Page, WireOffset, WirePage};
+use super::{Entry, Error, Log, Page, WireOffset, WirePage};
 use crate::id::Offset;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -13,12 +13,12 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone)]
-pub(crate) struct Http {
+pub(crate) struct Client {
     client: reqwest::Client,
     base_url: String,
 }
 
-impl Http {
+impl Client {
     /// Creates a client for the service at `base_url`, such as `http://IP:PORT`.
     pub(crate) fn new(base_url: &str) -> Self {
         let client = reqwest::Client::builder()
@@ -33,12 +33,12 @@
     }
 }
 
-fn to_fault(error: &reqwest::Error) -> Fault {
-    Fault(error.to_string())
+fn to_fault(error: &reqwest::Error) -> Error {
+    Error(error.to_string())
 }
 
-impl Log for Http {
-    async fn append(&self, stream: &str, entry: Bytes) -> Result<Offset, Fault> {
+impl Log for Client {
+    async fn append(&self, stream: &str, entry: Bytes) -> Result<Offset, Error> {
         let url = format!("{}/streams/{stream}", self.base_url);
         let request = self.client.post(url).timeout(APPEND_TIMEOUT).body(entry);
         let response = request
@@ -50,7 +50,7 @@
         Ok(Offset(body.offset))
     }
 
-    async fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<Page, Fault> {
+    async fn read(&self, stream: &str, from: Offset, wait: Duration) -> Result<Page, Error> {
         let wait_ms = wait.as_millis();
         let url = format!(
             "{}/streams/{stream}?from={from}&wait_ms={wait_ms}",
@@ -66,7 +66,7 @@
         let entries = page.entries.into_iter().map(|entry| {
             let data = STANDARD
                 .decode(entry.data)
-                .map_err(|error| Fault(error.to_string()))?;
+                .map_err(|error| Error(error.to_string()))?;
             Ok(Entry {
                 offset: Offset(entry.offset),
                 data: data.into(),
@@ -75,7 +75,7 @@
         Ok(Page {
             first: Offset(page.first),
             next: Offset(page.next),
-            entries: entries.collect::<Result<_, Fault>>()?,
+            entries: entries.collect::<Result<_, Error>>()?,
         })
     }
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -5,7 +5,7 @@
 pub(crate) mod records;
 pub(crate) mod store;
 
-pub(crate) use http::Http;
+pub(crate) use http::Client as LogClient;
 
 use crate::id::Offset;
 use bytes::Bytes;
@@ -15,15 +15,15 @@
 
 /// A failed request to the log service, which may have taken effect nevertheless.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Fault(pub(crate) String);
+pub(crate) struct Error(pub(crate) String);
 
-impl fmt::Display for Fault {
+impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for Error {}
 
 /// One entry of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 /// The append-only log service.
 pub(crate) trait Log: Clone + 'static {
     /// Appends one entry and returns its offset.
-    fn append(&self, stream: &str, entry: Bytes) -> impl Future<Output = Result<Offset, Fault>>;
+    fn append(&self, stream: &str, entry: Bytes) -> impl Future<Output = Result<Offset, Error>>;
 
     /// Reads entries from offset `from` on, waiting up to `wait` for the first one.
     fn read(
@@ -53,7 +53,7 @@
         stream: &str,
         from: Offset,
         wait: Duration,
-    ) -> impl Future<Output = Result<Page, Fault>>;
+    ) -> impl Future<Output = Result<Page, Error>>;
 }
 
 /// JSON representation of a [`Page`].
--- a/src/platform/records.rs
+++ b/src/platform/records.rs
@@ -1,7 +1,7 @@
 //! The store's topics, and the format of records that operators and backend servers write.
 
-use super::store::Keyed;
-use crate::gateway::directory::{Change, Entry, identity};
+use super::store::Record;
+use crate::gateway::directory::{Change, Entry, instance_id};
 use crate::gateway::table::{Engine, Route, Service, Sizes, Table, Target};
 use crate::gateway::team::{Fingerprint, Team, Teams};
 use crate::policy::limit::Limit;
@@ -23,12 +23,12 @@
 /// Token allowances of programs.
 pub(crate) const ALLOWANCE_TOPIC: &str = "keyed.allowance";
 /// Allowances whose partition of [`ALLOWANCE_TOPIC`] is unavailable.
-pub(crate) const DETOUR_TOPIC: &str = "keyed.detour";
+pub(crate) const FALLBACK_ALLOWANCE_TOPIC: &str = "keyed.detour";
 /// Number of topics for conversation turns. A bucket is read as a whole while callers wait, so
 /// buckets have to be small.
 pub(crate) const TURN_TOPICS: u64 = 16;
 /// Conversation turns whose own partition is unavailable.
-pub(crate) const DETOURED_TURN_TOPIC: &str = "keyed.turndetour";
+pub(crate) const FALLBACK_TURN_TOPIC: &str = "keyed.turndetour";
 /// Snapshots of the configuration and the directory.
 pub(crate) const SNAPSHOT_TOPIC: &str = "keyed.snapshot";
 /// Introductions, from which starting VMs learn each other's addresses.
@@ -184,13 +184,13 @@
             host: self.host,
             prefix: self.path_prefix,
             timeout: duration_from_millis(self.timeout_ms),
-            objective: duration_from_millis(self.slo_ms),
+            latency_target: duration_from_millis(self.slo_ms),
             attempts: self.attempts.unwrap_or(DEFAULT_ATTEMPTS).max(1),
             rank: self.priority,
             targets,
             resumable: self.can_resume,
-            keeps_turns: self.retain,
-            program_idle: self
+            stores_history: self.retain,
+            program_idle_timeout: self
                 .retain_s
                 .map(|seconds| duration_from_millis(seconds * 1000.0)),
             public: self.public,
@@ -202,7 +202,7 @@
     fn decode(self) -> (String, Service) {
         let engine = self.engine.map(|engine| Engine {
             slots: engine.slots,
-            memory_tokens: engine.kv_cap_tokens,
+            cache_tokens: engine.kv_cap_tokens,
             tokens_per_event: engine
                 .chunk_tokens
                 .unwrap_or(DEFAULT_TOKENS_PER_EVENT)
@@ -244,17 +244,17 @@
     fn decode(self) -> Sizes {
         let default = Sizes::default();
         Sizes {
-            head_bytes: self.max_header_bytes.unwrap_or(default.head_bytes),
-            body_bytes: self.max_body_bytes.unwrap_or(default.body_bytes),
-            idle: self
+            max_head_bytes: self.max_header_bytes.unwrap_or(default.max_head_bytes),
+            max_body_bytes: self.max_body_bytes.unwrap_or(default.max_body_bytes),
+            idle_timeout: self
                 .idle_timeout_ms
-                .map_or(default.idle, duration_from_millis),
+                .map_or(default.idle_timeout, duration_from_millis),
         }
     }
 }
 
 /// Decodes the configuration record.
-pub(crate) fn table(value: &[u8]) -> Result<Table, String> {
+pub(crate) fn decode_config(value: &[u8]) -> Result<Table, String> {
     let body: ConfigBody = serde_json::from_slice(value).map_err(|error| error.to_string())?;
     let routes = body.routes.into_iter().map(RouteBody::decode);
     let routes = routes.collect::<Result<Vec<_>, _>>()?;
@@ -271,7 +271,7 @@
 ///
 /// VMs copy the configuration to each other over unencrypted connections and to the store, where
 /// keys must not appear. The result decodes to the same [`Table`].
-pub(crate) fn without_keys(value: &Bytes) -> serde_json::Result<Bytes> {
+pub(crate) fn redact_keys(value: &Bytes) -> serde_json::Result<Bytes> {
     let mut body: Value = serde_json::from_slice(value)?;
     let Some(teams) = body.get_mut("tenants").and_then(Value::as_array_mut) else {
         return Ok(value.clone());
@@ -295,14 +295,14 @@
 }
 
 /// Decodes a directory record; a tombstone removes the server.
-pub(crate) fn server(record: &Keyed) -> Result<Change, String> {
+pub(crate) fn decode_server(record: &Record) -> Result<Change, String> {
     let name = record.key.as_str().into();
     let Some(value) = &record.value else {
         return Ok(Change::Removed(name));
     };
     let body: ServerBody = serde_json::from_slice(value).map_err(|error| error.to_string())?;
     Ok(Change::Set(Arc::new(Entry {
-        id: identity(&record.key, body.born),
+        id: instance_id(&record.key, body.born),
         name,
         born_ms: body.born,
         service: body.service,
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -24,47 +24,49 @@
 
 /// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Fault {
+pub(crate) enum Error {
     /// The store rejected the call with this HTTP status; it had no effect.
     Refused(u16),
     /// No response: the call may have taken effect, or may still do so seconds later.
-    Unknown(String),
+    OutcomeUnknown(String),
     /// The requested records were deleted; the oldest remaining one has this offset.
     Trimmed(Offset),
     /// A writer with a higher epoch has taken over the partition.
     Fenced,
     /// The store expects this sequence number from the writer instead.
-    Sequence(u64),
-    /// The partition has newer records than [`Writer::as_of`]; nothing was written.
-    Moved,
+    SequenceMismatch(u64),
+    /// The partition has newer records than [`Writer::expected_end`]; nothing was written.
+    Conflict,
     /// The response could not be decoded.
     Malformed(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Refused(status) => write!(f, "refused with status {status}"),
-            Self::Unknown(reason) => write!(f, "no response: {reason}"),
+            Self::OutcomeUnknown(reason) => write!(f, "no response: {reason}"),
             Self::Trimmed(first) => write!(f, "records before offset {first} were deleted"),
             Self::Fenced => f.write_str("fenced by a writer with a higher epoch"),
-            Self::Moved => f.write_str("the partition was written to since it was last read"),
-            Self::Sequence(expected) => write!(f, "the store expects sequence number {expected}"),
+            Self::Conflict => f.write_str("the partition was written to since it was last read"),
+            Self::SequenceMismatch(expected) => {
+                write!(f, "the store expects sequence number {expected}")
+            }
             Self::Malformed(reason) => write!(f, "malformed response: {reason}"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for Error {}
 
 /// A record of a compacted topic; without a value it is a tombstone that deletes the key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Keyed {
+pub(crate) struct Record {
     pub(crate) key: String,
     pub(crate) value: Option<Bytes>,
 }
 
-impl Keyed {
+impl Record {
     fn encode(&self, out: &mut BytesMut) {
         let value = self.value.as_deref().unwrap_or_default();
         out.put_u32(u32::try_from(1 + self.key.len() + value.len()).unwrap_or(u32::MAX));
@@ -86,8 +88,8 @@
 
 /// The latest record of each key of a partition.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Newest {
-    pub(crate) records: Vec<Keyed>,
+pub(crate) struct Latest {
+    pub(crate) records: Vec<Record>,
     /// The end of the partition when the first page was read.
     pub(crate) end: Offset,
 }
@@ -100,7 +102,7 @@
     /// The offset after the last record of the partition.
     pub(crate) end: Offset,
     /// Records, each with the offset after it.
-    pub(crate) records: Vec<(Offset, Keyed)>,
+    pub(crate) records: Vec<(Offset, Record)>,
 }
 
 /// Identifies the writer of an append; the store fences writers with a lower epoch.
@@ -110,7 +112,7 @@
     pub(crate) epoch: u64,
     pub(crate) sequence: u64,
     /// End that the partition must have for the append to succeed; `None` for any.
-    pub(crate) as_of: Option<Offset>,
+    pub(crate) expected_end: Option<Offset>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -160,8 +162,8 @@
     }
 
     /// Reads the latest record of each key of a partition.
-    pub(crate) async fn newest(&self, topic: &str, partition: u64) -> Result<Newest, Fault> {
-        let mut latest: Option<Newest> = None;
+    pub(crate) async fn read_latest(&self, topic: &str, partition: u64) -> Result<Latest, Error> {
+        let mut latest: Option<Latest> = None;
         let mut after = String::new();
         loop {
             let mut url = format!(
@@ -171,14 +173,14 @@
             if !after.is_empty() {
                 // Keys of other writers may contain any character.
                 url = Url::parse_with_params(&url, [("after", &after)])
-                    .map_err(|error| Fault::Malformed(error.to_string()))?
+                    .map_err(|error| Error::Malformed(error.to_string()))?
                     .into();
             }
             let response = check(self.client.get(url).timeout(CALL_TIMEOUT).send().await).await?;
             let bytes = response.bytes().await.map_err(|error| unknown(&error))?;
             let body: NewestBody = serde_json::from_slice(&bytes)
-                .map_err(|error| Fault::Malformed(error.to_string()))?;
-            let newest = latest.get_or_insert_with(|| Newest {
+                .map_err(|error| Error::Malformed(error.to_string()))?;
+            let newest = latest.get_or_insert_with(|| Latest {
                 records: Vec::new(),
                 end: Offset(body.end),
             });
@@ -189,8 +191,8 @@
             for item in body.items {
                 let value = STANDARD
                     .decode(item.value)
-                    .map_err(|error| Fault::Malformed(error.to_string()))?;
-                newest.records.push(Keyed {
+                    .map_err(|error| Error::Malformed(error.to_string()))?;
+                newest.records.push(Record {
                     key: item.key,
                     value: (!value.is_empty()).then(|| value.into()),
                 });
@@ -208,7 +210,7 @@
         partition: u64,
         from: Offset,
         wait: Duration,
-    ) -> Result<Page, Fault> {
+    ) -> Result<Page, Error> {
         let wait_ms = wait.as_millis();
         let url = format!(
             "{}/log-read?topic={topic}&part={partition}&from={from}&waitMs={wait_ms}",
@@ -217,19 +219,19 @@
         let request = self.client.get(url).timeout(wait + CALL_TIMEOUT);
         let response = check(request.send().await).await?;
         let body = response.bytes().await.map_err(|error| unknown(&error))?;
-        decode_page(from, &body).ok_or_else(|| Fault::Malformed("truncated body".to_owned()))
+        decode_page(from, &body).ok_or_else(|| Error::Malformed("truncated body".to_owned()))
     }
 
     /// Appends records as [`Store::append`] does, but sends hedged calls on new connections while no
     /// response arrives. The append must be idempotent: use sequence numbers, or keys whose value
     /// never changes.
-    pub(crate) async fn append_surely(
+    pub(crate) async fn append_hedged(
         &self,
         topic: &str,
         partition: u64,
-        records: &[Keyed],
+        records: &[Record],
         writer: Option<&Writer>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), Error> {
         let mut client = self.clone();
         let mut calls = FuturesUnordered::new();
         let mut hedge_delay = HEDGE_DELAY;
@@ -243,7 +245,7 @@
                     () = &mut hedge_timer, if sent < MAX_HEDGED_CALLS => break,
                 };
                 match result {
-                    Err(Fault::Unknown(_)) if !calls.is_empty() => {}
+                    Err(Error::OutcomeUnknown(_)) if !calls.is_empty() => {}
                     result => return result,
                 }
             }
@@ -251,7 +253,7 @@
             // Pooled connections may be unresponsive.
             client.reconnect();
         }
-        Err(Fault::Unknown("all calls failed".to_owned()))
+        Err(Error::OutcomeUnknown("all calls failed".to_owned()))
     }
 
     /// Appends records atomically; an empty list only sets the epoch of the writer.
@@ -259,9 +261,9 @@
         &self,
         topic: &str,
         partition: u64,
-        records: &[Keyed],
+        records: &[Record],
         writer: Option<&Writer>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), Error> {
         let mut url = format!(
             "{}/log-append?topic={topic}&part={partition}",
             self.base_url
@@ -270,11 +272,11 @@
             name,
             epoch,
             sequence,
-            as_of,
+            expected_end,
         }) = writer
         {
             url = format!("{url}&producer={name}&epoch={epoch}&seq={sequence}");
-            if let Some(end) = as_of {
+            if let Some(end) = expected_end {
                 url = format!("{url}&asOf={end}");
             }
         }
@@ -302,32 +304,32 @@
         .expect("a client without TLS can be built")
 }
 
-fn unknown(error: &reqwest::Error) -> Fault {
-    Fault::Unknown(error.to_string())
+fn unknown(error: &reqwest::Error) -> Error {
+    Error::OutcomeUnknown(error.to_string())
 }
 
 /// Returns a successful response, and converts any other outcome to an error.
-async fn check(response: Result<Response, reqwest::Error>) -> Result<Response, Fault> {
+async fn check(response: Result<Response, reqwest::Error>) -> Result<Response, Error> {
     let response = response.map_err(|error| unknown(&error))?;
     let status = response.status();
     if status.is_success() {
         return Ok(response);
     }
     if status == StatusCode::PRECONDITION_FAILED {
-        return Err(Fault::Moved);
+        return Err(Error::Conflict);
     }
     if status != StatusCode::CONFLICT && status != StatusCode::GONE {
-        return Err(Fault::Refused(status.as_u16()));
+        return Err(Error::Refused(status.as_u16()));
     }
     let bytes = response.bytes().await.map_err(|error| unknown(&error))?;
     let refusal: Refusal =
-        serde_json::from_slice(&bytes).map_err(|error| Fault::Malformed(error.to_string()))?;
+        serde_json::from_slice(&bytes).map_err(|error| Error::Malformed(error.to_string()))?;
     if status == StatusCode::GONE {
-        return Err(Fault::Trimmed(Offset(refusal.first)));
+        return Err(Error::Trimmed(Offset(refusal.first)));
     }
     Err(match refusal.why.as_str() {
-        "seq" => Fault::Sequence(refusal.expected.or(refusal.seq).unwrap_or_default()),
-        _ => Fault::Fenced,
+        "seq" => Error::SequenceMismatch(refusal.expected.or(refusal.seq).unwrap_or_default()),
+        _ => Error::Fenced,
     })
 }
 
@@ -346,7 +348,7 @@
         rest = rest.slice(4 + size..);
         next += 1;
         // A malformed record is skipped, but counts as an offset.
-        records.extend(Keyed::decode(&record).map(|record| (Offset(next), record)));
+        records.extend(Record::decode(&record).map(|record| (Offset(next), record)));
     }
     Some(Page {
         next: Offset(next),
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -11,7 +11,7 @@
 use crate::order;
 use crate::owner;
 use crate::peer::{self, Links};
-use crate::platform::Http;
+use crate::platform::LogClient;
 use crate::settings::{Listen, Settings};
 use crate::supervisor::Supervisor;
 use crate::telemetry::{Metrics, event};
@@ -150,7 +150,7 @@
 struct Wiring {
     settings: Settings,
     metrics: Metrics,
-    log: Http,
+    log: LogClient,
     links: Links,
     local: Arc<watch::Sender<Beat>>,
     config: watch::Receiver<Arc<Snapshot>>,
@@ -180,7 +180,7 @@
     let wiring = Wiring {
         settings: settings.clone(),
         metrics: Metrics::new(),
-        log: Http::new(&settings.log),
+        log: LogClient::new(&settings.log),
         links: Links::new(&settings.peer_key),
         local: local.clone(),
         config: config_seen,
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use vanillatrail::gateway::changes::Changes;
-use vanillatrail::gateway::directory::{Change, Directory, Entry, identity};
+use vanillatrail::gateway::directory::{Change, Directory, Entry, instance_id};
 use vanillatrail::id::{Millicores, Offset};
 use vanillatrail::policy::cells::{cell, readers};
 use vanillatrail::policy::relay::{Peer, order};
@@ -102,7 +102,7 @@
 fn server(name: &str, draining: bool) -> Change {
     Change::Set(
         Entry {
-            id: identity(name, 1),
+            id: instance_id(name, 1),
             name: name.into(),
             born_ms: 1,
             service: "pool".to_owned(),
@@ -118,7 +118,7 @@
 /// Guards against changes that are lost or taken back where VMs follow one after another.
 #[test]
 fn changes_after_an_offset_lead_to_the_same_directory() {
-    let mut changes = Changes::from(Offset(10));
+    let mut changes = Changes::starting_at(Offset(10));
     let mut directory = Directory::default();
     let all = [
         (12, server("a", false)),
@@ -145,9 +145,9 @@
             for change in part.changes {
                 follower.apply(change);
             }
-            assert!(part.whole || part.until > as_of);
-            as_of = part.until;
-            if part.whole {
+            assert!(part.complete || part.end > as_of);
+            as_of = part.end;
+            if part.complete {
                 break;
             }
         }
