--- a/src/gateway/world/contact.rs
+++ b/src/gateway/world/contact.rs
@@ -105,12 +105,12 @@
     }
 
     /// Publishes this VM's introduction to the store and sends those of the others to `lists`. Sets
-    /// `introduced` once the other VMs are known.
+    /// `peers_known` once the other VMs are known.
     pub(crate) async fn run(
         &self,
         mut introduction: watch::Receiver<Option<Introduction>>,
         lists: flume::Sender<List>,
-        introduced: watch::Sender<bool>,
+        peers_known: watch::Sender<bool>,
     ) {
         let mut round = 0;
         let mut published = None;
@@ -129,9 +129,9 @@
                 if lists.send_async(list).await.is_err() {
                     return;
                 }
-                if !*introduced.borrow() {
+                if !*peers_known.borrow() {
                     sleep(MEMBERSHIP_DELAY).await;
-                    introduced.send_replace(true);
+                    peers_known.send_replace(true);
                 }
             }
             let interval = ROUND_INTERVALS[usize::min(round, ROUND_INTERVALS.len() - 1)];
@@ -156,8 +156,8 @@
             .store
             .append(CONTACT_TOPIC, cell, &[record], None)
             .await;
-        if let Err(fault) = &appended {
-            event!(debug, "contact_unwritten", cell = cell, reason = fault);
+        if let Err(error) = &appended {
+            event!(debug, "contact_unwritten", cell = cell, reason = error);
         }
         appended.is_ok()
     }
@@ -166,9 +166,9 @@
     async fn read(&self) -> Option<List> {
         let own_cell = cell(&self.vm, &self.zone, self.cells);
         let own_list = match self.store.read_latest(CONTACT_TOPIC, own_cell).await {
-            Ok(newest) => to_list([newest]),
-            Err(fault) => {
-                event!(debug, "contacts_unread", cell = own_cell, reason = fault);
+            Ok(latest) => to_list([latest]),
+            Err(error) => {
+                event!(debug, "contacts_unread", cell = own_cell, reason = error);
                 return self.list_all().await;
             }
         };
@@ -207,7 +207,8 @@
         rmp_serde::from_slice(&bytes).ok()
     }
 
-    /// The introductions of all VMs, as served at [`INTRODUCTIONS_PATH`]; `None` if no cell could be read.
+    /// The introductions of all VMs, as served at [`INTRODUCTIONS_PATH`]; `None` if no cell could be
+    /// read.
     pub(crate) async fn encoded_introductions(&self) -> Option<Bytes> {
         self.read_all().await.map(|cached| cached.encoded)
     }
@@ -256,7 +257,7 @@
 /// Merges the records of cells. All VMs are addresses to contact; fresh ones are also introduced.
 fn to_list(cells: impl IntoIterator<Item = Latest>) -> List {
     let (now_ms, mut list) = (clock::wall_ms(), List::default());
-    let records = cells.into_iter().flat_map(|newest| newest.records);
+    let records = cells.into_iter().flat_map(|latest| latest.records);
     let values = records.filter_map(|record| record.value);
     let contacts = values.filter_map(|value| serde_json::from_slice::<Contact>(&value).ok());
     for contact in contacts {
--- a/src/gateway/world/copy.rs
+++ b/src/gateway/world/copy.rs
@@ -81,31 +81,31 @@
 impl Copier {
     /// A copy of the directory; `None` if this VM has no directory, its directory is too old, or too
     /// many copies are in flight.
-    pub(crate) fn directory(&self, world: &Routing, query: Option<&str>) -> Option<Bytes> {
+    pub(crate) fn directory(&self, routing: &Routing, query: Option<&str>) -> Option<Bytes> {
         let minimum = Offset(minimum(query));
         let busy = self.in_flight.load(Ordering::Relaxed) >= MAX_CONCURRENT_COPIES;
-        if !world.directory_loaded || world.directory_offset < minimum || busy {
+        if !routing.directory_loaded || routing.directory_offset < minimum || busy {
             return None;
         }
-        let age = world.directory_confirmed_at?.elapsed();
+        let age = routing.directory_confirmed_at?.elapsed();
         let copy = Directory {
-            as_of: world.directory_offset,
+            as_of: routing.directory_offset,
             age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
-            entries: self.entries(world)?,
+            entries: self.entries(routing)?,
         };
         Some(self.count_body(rmp_serde::to_vec(&copy).ok()?))
     }
 
     /// A copy of the configuration; `None` if this VM has no configuration, its version is too old,
     /// or too many copies are in flight.
-    pub(crate) fn config(&self, world: &Routing, query: Option<&str>) -> Option<Bytes> {
-        let outdated = world.table.as_ref()?.version < minimum(query);
+    pub(crate) fn config(&self, routing: &Routing, query: Option<&str>) -> Option<Bytes> {
+        let outdated = routing.table.as_ref()?.version < minimum(query);
         if outdated || self.in_flight.load(Ordering::Relaxed) >= MAX_CONCURRENT_COPIES {
             return None;
         }
         let copy = Config {
-            raw: world.redacted_config.clone()?,
-            next: world.next_config_offset?,
+            raw: routing.redacted_config.clone()?,
+            next: routing.next_config_offset?,
         };
         Some(self.count_body(rmp_serde::to_vec(&copy).ok()?))
     }
@@ -118,15 +118,15 @@
         })
     }
 
-    fn entries(&self, world: &Routing) -> Option<Bytes> {
-        let digest = world.directory.digest();
+    fn entries(&self, routing: &Routing) -> Option<Bytes> {
+        let digest = routing.directory.digest();
         let mut cached = self.entries.borrow_mut();
         if let Some((cached_digest, bytes)) = cached.as_ref()
             && *cached_digest == digest
         {
             return Some(bytes.clone());
         }
-        let entries: Vec<&Entry> = world.directory.iter().map(|entry| &**entry).collect();
+        let entries: Vec<&Entry> = routing.directory.iter().map(|entry| &**entry).collect();
         let bytes = Bytes::from(rmp_serde::to_vec(&entries).ok()?);
         *cached = Some((digest, bytes.clone()));
         Some(bytes)
--- a/src/gateway/world/copy_fetcher.rs
+++ b/src/gateway/world/copy_fetcher.rs
@@ -20,8 +20,8 @@
 const ATTEMPTS_UNTIL_SLOW: u32 = 15;
 /// Attempts that ask only VMs of this zone, since cross-zone traffic costs money.
 const SAME_ZONE_ATTEMPTS: u32 = 5;
-/// Probability with which a retry first asks the VM that announced the change. It has the data, but
-/// other VMs of its zone may have it by then, too.
+/// Probability with which a retry first asks the upstream. It has the data, but other VMs of its
+/// zone may have it by then, too.
 const ASK_SOURCE_PROBABILITY: f64 = 0.25;
 /// VMs that one attempt asks, one after the other.
 const VMS_PER_ATTEMPT: usize = 3;
@@ -38,10 +38,10 @@
 
 /// Fetches copies when they are needed: while nothing is known yet, after missed directory changes,
 /// and when another VM has a newer configuration.
-pub(super) async fn follow(sources: &Sources, relay: &Relay, worlds: &watch::Sender<Routing>) {
-    let fetcher = CopyFetcher::new(sources, relay, worlds);
+pub(super) async fn follow(sources: &Sources, relay: &Relay, routing_tx: &watch::Sender<Routing>) {
+    let fetcher = CopyFetcher::new(sources, relay, routing_tx);
     loop {
-        let complete = worlds.borrow().is_complete();
+        let complete = routing_tx.borrow().is_complete();
         let interval = if complete {
             CHECK_INTERVALS.1
         } else {
@@ -68,14 +68,14 @@
 struct CopyFetcher<'a> {
     sources: &'a Sources,
     relay: &'a Relay,
-    worlds: &'a watch::Sender<Routing>,
+    routing_tx: &'a watch::Sender<Routing>,
     client: reqwest::Client,
     store: Store,
     started: Instant,
 }
 
 impl<'a> CopyFetcher<'a> {
-    fn new(sources: &'a Sources, relay: &'a Relay, worlds: &'a watch::Sender<Routing>) -> Self {
+    fn new(sources: &'a Sources, relay: &'a Relay, routing_tx: &'a watch::Sender<Routing>) -> Self {
         let client = reqwest::Client::builder()
             .timeout(FETCH_TIMEOUT)
             .connect_timeout(CONNECT_TIMEOUT)
@@ -85,7 +85,7 @@
         Self {
             sources,
             relay,
-            worlds,
+            routing_tx,
             client: client.expect("a client without TLS can be built"),
             store: Store::new(sources.store),
             started: Instant::now(),
@@ -93,21 +93,21 @@
     }
 
     fn needs_directory(&self) -> bool {
-        let listed = self.worlds.borrow().directory_loaded;
+        let loaded = self.routing_tx.borrow().directory_loaded;
         let overdue = !self.relay.has_store.get() || self.started.elapsed() > DIRECTORY_COPY_DELAY;
-        self.relay.wants_copy.get().is_some() || !listed && overdue
+        self.relay.wants_copy.get().is_some() || !loaded && overdue
     }
 
     fn needs_config(&self) -> bool {
-        let world = self.worlds.borrow();
-        let known = world.config_version();
+        let routing = self.routing_tx.borrow();
+        let known = routing.config_version();
         let announced = self
             .relay
             .told_config
             .get()
             .map_or(0, |(version, _)| version);
         announced > known
-            || self.sources.is_behind(&world)
+            || self.sources.is_behind(&routing)
             || known == 0 && !self.relay.has_store.get()
     }
 
@@ -115,8 +115,8 @@
         self.needs_directory() || self.needs_config()
     }
 
-    /// The VMs to ask: the one that directory changes come from, then random VMs of this zone, or of
-    /// any zone after [`SAME_ZONE_ATTEMPTS`].
+    /// The VMs to ask: the upstream, then random VMs of this zone, or of any zone after
+    /// [`SAME_ZONE_ATTEMPTS`].
     fn candidates(&self, failures: u32) -> Vec<SocketAddr> {
         let ask_source = failures == 0 || rand::random_bool(ASK_SOURCE_PROBABILITY);
         let source = self.relay.source().filter(|_| ask_source);
@@ -149,14 +149,14 @@
     }
 
     async fn fetch_config(&self, address: SocketAddr) -> bool {
-        let known = self.worlds.borrow().config_version();
+        let known = self.routing_tx.borrow().config_version();
         let path = format!("{CONFIG_PATH}?{MIN_PARAMETER}={}", known + 1);
         let Some(copy) = self.get::<Config>(address, &path).await else {
             return false;
         };
-        self.worlds.send_if_modified(|world| {
-            let changed = world.apply_config(&copy.raw, "peer");
-            world.next_config_offset = world.next_config_offset.max(Some(copy.next));
+        self.routing_tx.send_if_modified(|routing| {
+            let changed = routing.apply_config(&copy.raw, "peer");
+            routing.next_config_offset = routing.next_config_offset.max(Some(copy.next));
             changed
         });
         !self.needs_config()
@@ -195,7 +195,7 @@
         let servers = entries.len();
         let applied = self
             .relay
-            .take_copy(copy.as_of, |world| replace_directory(world, entries));
+            .take_copy(copy.as_of, |routing| replace_directory(routing, entries));
         if applied {
             event!(
                 info,
@@ -216,7 +216,7 @@
     /// Reads a snapshot from the store if no VM has a copy, as after the loss of all VMs during a
     /// partial outage of the store.
     async fn read_snapshot(&self, failures: u32) {
-        let complete = self.worlds.borrow().is_complete();
+        let complete = self.routing_tx.borrow().is_complete();
         // A VM that announced its directory has a newer one than the snapshot.
         let announced = self.relay.has_store.get() && self.relay.wants_copy.get().is_some();
         if complete
@@ -227,8 +227,8 @@
             return;
         }
         if let Some(snapshot) = snapshot::from_store(&self.store).await {
-            self.worlds
-                .send_if_modified(|world| world.apply_snapshot(snapshot));
+            self.routing_tx
+                .send_if_modified(|routing| routing.apply_snapshot(snapshot));
         }
     }
 }
--- a/src/gateway/world/feed.rs
+++ b/src/gateway/world/feed.rs
@@ -24,20 +24,20 @@
     sources: Sources,
     socket: std::net::UdpSocket,
     key: String,
-    worlds: watch::Sender<Routing>,
+    routing_tx: watch::Sender<Routing>,
 ) {
     let socket = UdpSocket::from_std(socket).expect("the socket is bound and non-blocking");
-    let relay = Relay::new(socket, &key, sources.period(), worlds.clone());
+    let relay = Relay::new(socket, &key, sources.period(), routing_tx.clone());
     tokio::join!(
-        follow_config(&sources, &relay, &worlds),
+        follow_config(&sources, &relay, &routing_tx),
         follow_directory(&sources, &relay),
-        copy_fetcher::follow(&sources, &relay, &worlds),
+        copy_fetcher::follow(&sources, &relay, &routing_tx),
         relay.receive(),
         relay.tell(),
     );
 }
 
-async fn follow_config(sources: &Sources, relay: &Relay, worlds: &watch::Sender<Routing>) {
+async fn follow_config(sources: &Sources, relay: &Relay, routing_tx: &watch::Sender<Routing>) {
     let period = sources.period();
     let mut store = Store::new(sources.store);
     let mut health = Health::new("config");
@@ -45,57 +45,57 @@
         let started = Instant::now();
         // While another VM's copy is being fetched, a read would only add load on the store.
         let announced = relay.told_config.get();
-        let known = worlds.borrow().config_version();
+        let known = routing_tx.borrow().config_version();
         let copy_pending = announced
             .is_some_and(|(version, at)| version > known && known > 0 && at.elapsed() < period);
-        let last_read = worlds.borrow().last_store_read;
+        let last_read = routing_tx.borrow().last_store_read;
         if copy_pending && last_read.is_some_and(|at| at.elapsed() < MAX_READ_AGE) {
             sleep(RETRY_DELAY).await;
             continue;
         }
-        match read_config(&store, worlds).await {
+        match read_config(&store, routing_tx).await {
             Ok(()) => {
                 if health.record_success().is_some() {
                     relay.store_back.set(Some(Instant::now()));
                 }
                 relay.has_store.set(true);
-                worlds.send_if_modified(|world| {
-                    world.last_store_read = world.last_store_read.max(Some(started));
+                routing_tx.send_if_modified(|routing| {
+                    routing.last_store_read = routing.last_store_read.max(Some(started));
                     false
                 });
                 sleep(period.saturating_sub(started.elapsed())).await;
             }
             Err(Error::Trimmed(_)) => {
-                worlds.send_if_modified(|world| {
-                    world.next_config_offset = None;
+                routing_tx.send_if_modified(|routing| {
+                    routing.next_config_offset = None;
                     false
                 });
             }
-            Err(fault) => {
+            Err(error) => {
                 relay.has_store.set(false);
-                health.record_failure(&fault, &mut store).await;
+                health.record_failure(&error, &mut store).await;
             }
         }
     }
 }
 
-async fn read_config(store: &Store, worlds: &watch::Sender<Routing>) -> Result<(), Error> {
-    let next = worlds.borrow().next_config_offset;
+async fn read_config(store: &Store, routing_tx: &watch::Sender<Routing>) -> Result<(), Error> {
+    let next = routing_tx.borrow().next_config_offset;
     let (next, records) = if let Some(from) = next {
         let page = store.read(CONFIG_TOPIC, 0, from, Duration::ZERO).await?;
         let records = page.records.into_iter().map(|(_, record)| record);
         (page.next, records.collect())
     } else {
-        let newest = store.read_latest(CONFIG_TOPIC, 0).await?;
-        (newest.end, newest.records)
+        let latest = store.read_latest(CONFIG_TOPIC, 0).await?;
+        (latest.end, latest.records)
     };
-    worlds.send_if_modified(|world| {
+    routing_tx.send_if_modified(|routing| {
         let mut changed = false;
         let configs = records.iter().filter(|record| record.key == CONFIG_KEY);
         for value in configs.filter_map(|record| record.value.as_ref()) {
-            changed |= world.apply_config(value, "store");
+            changed |= routing.apply_config(value, "store");
         }
-        world.next_config_offset = world.next_config_offset.max(Some(next));
+        routing.next_config_offset = routing.next_config_offset.max(Some(next));
         changed
     });
     Ok(())
--- a/src/gateway/world/health.rs
+++ b/src/gateway/world/health.rs
@@ -41,12 +41,12 @@
     }
 
     /// Records a failed call and waits for the backoff. Reconnects if the call was not answered.
-    pub(super) async fn record_failure(&mut self, fault: &Error, store: &mut Store) {
+    pub(super) async fn record_failure(&mut self, error: &Error, store: &mut Store) {
         if self.lost_at.is_none() {
             self.lost_at = Some(Instant::now());
-            event!(warn, "store_lost", for_what = self.data, reason = fault);
+            event!(warn, "store_lost", for_what = self.data, reason = error);
         }
-        if matches!(fault, Error::OutcomeUnknown(_)) {
+        if matches!(error, Error::OutcomeUnknown(_)) {
             store.reconnect();
         }
         sleep(self.backoff).await;
--- a/src/gateway/world/reader.rs
+++ b/src/gateway/world/reader.rs
@@ -75,8 +75,8 @@
                 self.next = None;
                 true
             }
-            Err(fault) => {
-                self.health.record_failure(&fault, &mut self.store).await;
+            Err(error) => {
+                self.health.record_failure(&error, &mut self.store).await;
                 false
             }
         }
@@ -106,14 +106,14 @@
             self.next = None;
         }
         let Some(mut from) = self.next else {
-            let newest = self.store.read_latest(DIRECTORY_TOPIC, 0).await?;
-            self.next = Some(newest.end);
-            relay.replace(newest.end, |world| {
-                let initial = !world.directory_loaded;
-                let changes = apply_all(world, &newest.records, keep_missing);
+            let latest = self.store.read_latest(DIRECTORY_TOPIC, 0).await?;
+            self.next = Some(latest.end);
+            relay.replace(latest.end, |routing| {
+                let initial = !routing.directory_loaded;
+                let changes = apply_all(routing, &latest.records, keep_missing);
                 if initial {
                     // Replaces one log line per server.
-                    event!(info, "directory_read", servers = world.directory.len());
+                    event!(info, "directory_read", servers = routing.directory.len());
                 }
                 changes
             });
@@ -126,10 +126,10 @@
                 .await?;
             from = page.next;
             self.next = Some(from);
-            relay.update(from, |world| {
+            relay.update(from, |routing| {
                 let records = page.records.iter();
                 let changes = records
-                    .filter_map(|(at, record)| Some((*at, apply_record(world, record, false)?)));
+                    .filter_map(|(at, record)| Some((*at, apply_record(routing, record, false)?)));
                 changes.collect()
             });
             if page.records.is_empty() || page.next >= page.end {
--- a/src/gateway/world/snapshot.rs
+++ b/src/gateway/world/snapshot.rs
@@ -37,15 +37,15 @@
 }
 
 impl Snapshot {
-    /// The snapshot of `world`; `None` unless both the configuration and the directory are known.
-    fn of(world: &Routing) -> Option<Self> {
-        let raw = world
+    /// The snapshot of `routing`; `None` unless both the configuration and the directory are known.
+    fn of(routing: &Routing) -> Option<Self> {
+        let raw = routing
             .redacted_config
             .as_ref()
-            .filter(|_| world.directory_loaded)?;
+            .filter(|_| routing.directory_loaded)?;
         Some(Self {
             config: STANDARD.encode(raw),
-            servers: world.directory.iter().map(Arc::clone).collect(),
+            servers: routing.directory.iter().map(Arc::clone).collect(),
         })
     }
 
@@ -74,14 +74,14 @@
             continue;
         }
         let (current, snapshot) = {
-            let world = gateway.world.borrow();
-            let version = world.table.as_ref().map(|table| table.version);
-            let current = Some((version, world.directory.digest()));
+            let routing = gateway.world.borrow();
+            let version = routing.table.as_ref().map(|table| table.version);
+            let current = Some((version, routing.directory.digest()));
             if current == written {
                 continue;
             }
-            let fits = world.directory.len() <= MAX_SERVERS;
-            (current, fits.then(|| Snapshot::of(&world)).flatten())
+            let fits = routing.directory.len() <= MAX_SERVERS;
+            (current, fits.then(|| Snapshot::of(&routing)).flatten())
         };
         write(&store, gateway.settings.store.partitions, snapshot.as_ref()).await;
         written = current;
@@ -107,12 +107,12 @@
             std::slice::from_ref(&record),
             None,
         );
-        if let Err(fault) = append.await {
+        if let Err(error) = append.await {
             event!(
                 debug,
                 "snapshot_unwritten",
                 part = partition,
-                reason = fault
+                reason = error
             );
         }
     }
@@ -121,10 +121,10 @@
 /// Reads the snapshot from the first partition that answers with one.
 pub(crate) async fn from_store(store: &Store) -> Option<Snapshot> {
     for partition in PARTITIONS {
-        let Ok(newest) = store.read_latest(SNAPSHOT_TOPIC, partition).await else {
+        let Ok(latest) = store.read_latest(SNAPSHOT_TOPIC, partition).await else {
             continue;
         };
-        let record = newest
+        let record = latest
             .records
             .into_iter()
             .find(|record| record.key == SNAPSHOT_KEY);
--- a/src/gateway/world/sources.rs
+++ b/src/gateway/world/sources.rs
@@ -51,7 +51,7 @@
         (Duration::from_millis(bound) / READS_PER_BOUND).min(MAX_PERIOD)
     }
 
-    /// The VMs that this one asks for directory changes, in order.
+    /// The upstreams that this VM asks for directory changes, in order.
     pub(super) fn relay_order(&self) -> relay::Order {
         let view = self.view.borrow();
         let members = view.members.values();
@@ -77,8 +77,8 @@
     }
 
     /// Whether another VM has applied a newer configuration.
-    pub(super) fn is_behind(&self, world: &Routing) -> bool {
-        let known = world.config_version();
+    pub(super) fn is_behind(&self, routing: &Routing) -> bool {
+        let known = routing.config_version();
         self.view.borrow().newest.0 > known
     }
 
--- a/src/gateway/world/state.rs
+++ b/src/gateway/world/state.rs
@@ -32,9 +32,9 @@
     pub(crate) changes: Changes,
     /// The store offset that the directory reflects.
     pub(crate) directory_offset: Offset,
-    /// When the store last confirmed the content of the directory, here or at the VM followed.
+    /// When the store last confirmed the content of the directory, here or at the upstream.
     pub(crate) directory_confirmed_at: Option<Instant>,
-    /// The VM from which directory changes come; `None` if this one reads the store.
+    /// The upstream that directory changes come from; `None` if this VM reads the store.
     pub(crate) directory_source: Option<SocketAddr>,
     /// Offset of the next configuration record to read; `None` to read the latest one.
     pub(crate) next_config_offset: Option<Offset>,
@@ -131,27 +131,27 @@
 /// Applies the latest records of all servers and returns what changed. Servers without a record are
 /// removed unless `keep_missing` is set.
 pub(super) fn apply_all(
-    world: &mut Routing,
+    routing: &mut Routing,
     records: &[Record],
     keep_missing: bool,
 ) -> Vec<Change> {
-    let initial = !world.directory_loaded;
+    let initial = !routing.directory_loaded;
     let mut changes: Vec<Change> = records
         .iter()
-        .filter_map(|record| apply_record(world, record, initial))
+        .filter_map(|record| apply_record(routing, record, initial))
         .collect();
     let present = records.iter().filter(|record| record.value.is_some());
     let present: HashSet<&str> = present.map(|record| record.key.as_str()).collect();
     if !keep_missing {
-        changes.extend(remove_missing(world, |name| present.contains(name)));
+        changes.extend(remove_missing(routing, |name| present.contains(name)));
     }
-    world.directory_loaded = true;
+    routing.directory_loaded = true;
     changes
 }
 
 /// Replaces the directory with a copy and returns what changed.
-pub(super) fn replace_directory(world: &mut Routing, entries: Vec<Arc<Entry>>) -> Vec<Change> {
-    let initial = !world.directory_loaded;
+pub(super) fn replace_directory(routing: &mut Routing, entries: Vec<Arc<Entry>>) -> Vec<Change> {
+    let initial = !routing.directory_loaded;
     let present: HashSet<Arc<str>> = entries
         .iter()
         .map(|entry| Arc::clone(&entry.name))
@@ -159,53 +159,57 @@
     let mut changes = Vec::new();
     for entry in entries {
         let change = Change::Set(entry);
-        if apply_change(world, &change, initial) {
+        if apply_change(routing, &change, initial) {
             changes.push(change);
         }
     }
-    changes.extend(remove_missing(world, |name| present.contains(name)));
-    world.directory_loaded = true;
+    changes.extend(remove_missing(routing, |name| present.contains(name)));
+    routing.directory_loaded = true;
     changes
 }
 
-fn remove_missing(world: &mut Routing, is_present: impl Fn(&str) -> bool) -> Vec<Change> {
-    let entries = world.directory.iter();
+fn remove_missing(routing: &mut Routing, is_present: impl Fn(&str) -> bool) -> Vec<Change> {
+    let entries = routing.directory.iter();
     let missing: Vec<Change> = entries
         .filter(|entry| !is_present(&entry.name))
         .map(|entry| Change::Removed(Arc::clone(&entry.name)))
         .collect();
     for change in &missing {
-        apply_change(world, change, false);
+        apply_change(routing, change, false);
     }
     missing
 }
 
 /// Applies one record and returns the change, if any. Changes of the `initial` read are not logged.
-pub(super) fn apply_record(world: &mut Routing, record: &Record, initial: bool) -> Option<Change> {
+pub(super) fn apply_record(
+    routing: &mut Routing,
+    record: &Record,
+    initial: bool,
+) -> Option<Change> {
     let change = match decode_server(record) {
         Ok(change) => change,
         Err(reason) => {
             // A malformed record makes only its own server unusable.
             let raw = record.value.as_deref().unwrap_or_default();
-            if Arc::make_mut(&mut world.directory).note_refused(&record.key, raw) {
+            if Arc::make_mut(&mut routing.directory).note_refused(&record.key, raw) {
                 event!(warn, "server_refused", server = record.key, reason = reason);
             }
             Change::Removed(record.key.as_str().into())
         }
     };
-    apply_change(world, &change, initial).then_some(change)
+    apply_change(routing, &change, initial).then_some(change)
 }
 
 /// Applies one change and returns whether it had an effect. Changes of the `initial` read are not
 /// logged.
-pub(super) fn apply_change(world: &mut Routing, change: &Change, initial: bool) -> bool {
-    if !world.directory.would_change(change) {
+pub(super) fn apply_change(routing: &mut Routing, change: &Change, initial: bool) -> bool {
+    if !routing.directory.would_change(change) {
         return false;
     }
-    let before = world.directory.by_name(change.name()).cloned();
-    Arc::make_mut(&mut world.directory).apply(change.clone());
-    if !initial && world.log_limiter.allow(Instant::now()) {
-        log_change(before, world.directory.by_name(change.name()));
+    let before = routing.directory.by_name(change.name()).cloned();
+    Arc::make_mut(&mut routing.directory).apply(change.clone());
+    if !initial && routing.log_limiter.allow(Instant::now()) {
+        log_change(before, routing.directory.by_name(change.name()));
     }
     true
 }
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -33,7 +33,7 @@
     }
 }
 
-fn to_fault(error: &reqwest::Error) -> Error {
+fn to_error(error: &reqwest::Error) -> Error {
     Error(error.to_string())
 }
 
@@ -45,8 +45,8 @@
             .send()
             .await
             .and_then(reqwest::Response::error_for_status);
-        let response = response.map_err(|error| to_fault(&error))?;
-        let body: WireOffset = response.json().await.map_err(|error| to_fault(&error))?;
+        let response = response.map_err(|error| to_error(&error))?;
+        let body: WireOffset = response.json().await.map_err(|error| to_error(&error))?;
         Ok(Offset(body.offset))
     }
 
@@ -61,8 +61,8 @@
             .send()
             .await
             .and_then(reqwest::Response::error_for_status);
-        let response = response.map_err(|error| to_fault(&error))?;
-        let page: WirePage = response.json().await.map_err(|error| to_fault(&error))?;
+        let response = response.map_err(|error| to_error(&error))?;
+        let page: WirePage = response.json().await.map_err(|error| to_error(&error))?;
         let entries = page.entries.into_iter().map(|entry| {
             let data = STANDARD
                 .decode(entry.data)
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -116,14 +116,14 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct NewestBody {
-    items: Vec<NewestItem>,
+struct LatestBody {
+    items: Vec<LatestItem>,
     truncated: bool,
     end: u64,
 }
 
 #[derive(Debug, Deserialize)]
-struct NewestItem {
+struct LatestItem {
     key: String,
     #[serde(default)]
     value: String,
@@ -163,7 +163,7 @@
 
     /// Reads the latest record of each key of a partition.
     pub(crate) async fn read_latest(&self, topic: &str, partition: u64) -> Result<Latest, Error> {
-        let mut latest: Option<Latest> = None;
+        let mut result: Option<Latest> = None;
         let mut after = String::new();
         loop {
             let mut url = format!(
@@ -178,9 +178,9 @@
             }
             let response = check(self.client.get(url).timeout(CALL_TIMEOUT).send().await).await?;
             let bytes = response.bytes().await.map_err(|error| unknown(&error))?;
-            let body: NewestBody = serde_json::from_slice(&bytes)
+            let body: LatestBody = serde_json::from_slice(&bytes)
                 .map_err(|error| Error::Malformed(error.to_string()))?;
-            let newest = latest.get_or_insert_with(|| Latest {
+            let latest = result.get_or_insert_with(|| Latest {
                 records: Vec::new(),
                 end: Offset(body.end),
             });
@@ -192,13 +192,13 @@
                 let value = STANDARD
                     .decode(item.value)
                     .map_err(|error| Error::Malformed(error.to_string()))?;
-                newest.records.push(Record {
+                latest.records.push(Record {
                     key: item.key,
                     value: (!value.is_empty()).then(|| value.into()),
                 });
             }
             if !body.truncated || after.is_empty() {
-                return Ok(latest.unwrap_or_default());
+                return Ok(result.unwrap_or_default());
             }
         }
     }
