--- a/src/gateway/world/copy_fetcher.rs
+++ b/src/gateway/world/copies.rs
@@ -22,7 +22,7 @@
 const SAME_ZONE_ATTEMPTS: u32 = 5;
 /// Probability with which a retry first asks the upstream. It has the data, but other VMs of its
 /// zone may have it by then, too.
-const ASK_SOURCE_PROBABILITY: f64 = 0.25;
+const ASK_UPSTREAM_PROBABILITY: f64 = 0.25;
 /// VMs that one attempt asks, one after the other.
 const VMS_PER_ATTEMPT: usize = 3;
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
@@ -118,8 +118,8 @@
     /// The VMs to ask: the upstream, then random VMs of this zone, or of any zone after
     /// [`SAME_ZONE_ATTEMPTS`].
     fn candidates(&self, failures: u32) -> Vec<SocketAddr> {
-        let ask_source = failures == 0 || rand::random_bool(ASK_SOURCE_PROBABILITY);
-        let source = self.relay.source().filter(|_| ask_source);
+        let ask_upstream = failures == 0 || rand::random_bool(ASK_UPSTREAM_PROBABILITY);
+        let source = self.relay.source().filter(|_| ask_upstream);
         let source = source.map(|source| SocketAddr::new(source.ip(), self.sources.port));
         let mut others = if failures < SAME_ZONE_ATTEMPTS {
             self.sources.same_zone_addresses()
--- a/src/gateway/world/feed.rs
+++ b/src/gateway/world/feed.rs
@@ -1,6 +1,6 @@
 //! Keeps the configuration and the directory of this VM up to date, on a thread of its own.
 
-use crate::gateway::world::copy_fetcher;
+use crate::gateway::world::copies;
 use crate::gateway::world::health::Health;
 use crate::gateway::world::reader::Reader;
 use crate::gateway::world::relay::{Heard, Relay};
@@ -31,7 +31,7 @@
     tokio::join!(
         follow_config(&sources, &relay, &routing_tx),
         follow_directory(&sources, &relay),
-        copy_fetcher::follow(&sources, &relay, &routing_tx),
+        copies::follow(&sources, &relay, &routing_tx),
         relay.receive(),
         relay.tell(),
     );
--- a/src/gateway/world/mod.rs
+++ b/src/gateway/world/mod.rs
@@ -2,8 +2,8 @@
 
 pub mod changes;
 pub(crate) mod contact;
+mod copies;
 pub(crate) mod copy;
-mod copy_fetcher;
 pub mod directory;
 pub(crate) mod feed;
 mod health;
