--- a/src/gateway/world/sources.rs
+++ b/src/gateway/world/sources.rs
@@ -39,7 +39,7 @@
     pub(crate) peers_known: watch::Receiver<bool>,
 }
 
-/// The address on which a member exchanges directory datagrams: two ports above its membership port.
+/// The address of a member for directory datagrams: two ports above its membership port.
 pub(crate) fn relay_address(member: SocketAddr) -> SocketAddr {
     SocketAddr::new(member.ip(), member.port() + 2)
 }
--- a/src/gateway/world/table.rs
+++ b/src/gateway/world/table.rs
@@ -1,4 +1,4 @@
-//! The routing table: which service serves a request, and how it may be retried, queued and limited.
+//! The routing table: which service handles a request, and how it may be retried and limited.
 
 use crate::gateway::world::team::Teams;
 use std::collections::HashMap;
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -19,7 +19,8 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Delay before the first hedged call of an append; doubles for each further one.
 const HEDGE_DELAY: Duration = Duration::from_millis(60);
-const MAX_HEDGED_CALLS: u32 = 3;
+/// Calls of one hedged append, including the first.
+const MAX_CALLS: u32 = 3;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a call to the store failed.
@@ -235,14 +236,14 @@
         let mut client = self.clone();
         let mut calls = FuturesUnordered::new();
         let mut hedge_delay = HEDGE_DELAY;
-        for sent in 1..=MAX_HEDGED_CALLS {
+        for sent in 1..=MAX_CALLS {
             let store = client.clone();
             calls.push(async move { store.append(topic, partition, records, writer).await });
             let mut hedge_timer = pin!(sleep(hedge_delay));
             loop {
                 let result = tokio::select! {
                     Some(result) = calls.next() => result,
-                    () = &mut hedge_timer, if sent < MAX_HEDGED_CALLS => break,
+                    () = &mut hedge_timer, if sent < MAX_CALLS => break,
                 };
                 match result {
                     Err(Error::OutcomeUnknown(_)) if !calls.is_empty() => {}
