--- a/src/gateway/world/mod.rs
+++ b/src/gateway/world/mod.rs
@@ -1,4 +1,4 @@
-//! What is followed from the store: the configuration, the backend servers, and the other VMs.
+//! Follows the configuration, the directory of backend servers and the other VMs through the store.
 
 pub mod changes;
 pub(crate) mod contact;
--- a/src/gateway/world/state.rs
+++ b/src/gateway/world/state.rs
@@ -1,4 +1,4 @@
-//! What is known of the configuration and the directory, and how records change it.
+//! The configuration and the server directory as this VM knows them, and how records update them.
 
 use crate::gateway::world::changes::Changes;
 use crate::gateway::world::directory::{Change, Directory, Entry};
@@ -6,8 +6,8 @@
 use crate::gateway::world::table::Table;
 use crate::gateway::world::team::Teams;
 use crate::id::Offset;
-use crate::platform::records::{server, table, without_keys};
-use crate::platform::store::Keyed;
+use crate::platform::records::{decode_config, decode_server, redact_keys};
+use crate::platform::store::Record;
 use crate::telemetry::event;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -15,69 +15,69 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What the other threads see of the configuration and the directory.
+/// The configuration and the server directory, as published to the other threads.
 #[derive(Debug, Clone)]
-pub(crate) struct World {
-    /// The newest configuration; none until one is known.
+pub(crate) struct Routing {
+    /// The newest configuration; `None` until one is known.
     pub(crate) table: Option<Arc<Table>>,
-    /// The backend servers.
     pub(crate) directory: Arc<Directory>,
-    /// The configuration for VMs that can't read it at the store, without the keys of teams.
-    pub(crate) raw: Option<bytes::Bytes>,
-    /// When the newest read of the configuration began that the store answered. It does not wait for a change, so
-    /// the store was there at that time.
-    pub(crate) heard: Option<Instant>,
-    /// Whether the directory has been read.
-    pub(crate) listed: bool,
-    /// Its newest changes.
+    /// The encoded configuration without API keys, for copies.
+    pub(crate) redacted_config: Option<bytes::Bytes>,
+    /// Start of the newest configuration read that the store answered. These reads do not wait for
+    /// a change, so the store was reachable at that time.
+    pub(crate) last_store_read: Option<Instant>,
+    /// Whether the directory has been read or copied at least once.
+    pub(crate) directory_loaded: bool,
+    /// The newest changes to the directory.
     pub(crate) changes: Changes,
-    /// What the directory stands for, as an offset of the store.
-    pub(crate) as_of: Offset,
-    /// When the store said what stands in the directory.
-    pub(crate) aged: Option<Instant>,
-    /// The VM from which changes of the directory come; none where this one reads the store.
-    pub(crate) source: Option<SocketAddr>,
-    /// Where the records after the configuration begin.
-    pub(crate) config_next: Option<Offset>,
-    lines: Lines,
+    /// The store offset that the directory reflects.
+    pub(crate) directory_offset: Offset,
+    /// When the store last confirmed the content of the directory, here or at the upstream.
+    pub(crate) directory_confirmed_at: Option<Instant>,
+    /// The upstream that directory changes come from; `None` if this VM reads the store.
+    pub(crate) directory_source: Option<SocketAddr>,
+    /// Offset of the next configuration record to read; `None` to read the latest one.
+    pub(crate) next_config_offset: Option<Offset>,
+    log_limiter: LogLimiter,
 }
 
-impl World {
+impl Routing {
     pub(crate) fn empty() -> Self {
         Self {
             table: None,
             directory: Arc::default(),
-            raw: None,
-            heard: None,
-            listed: false,
+            redacted_config: None,
+            last_store_read: None,
+            directory_loaded: false,
             changes: Changes::default(),
-            as_of: Offset(0),
-            aged: None,
-            source: None,
-            config_next: None,
-            lines: Lines::default(),
+            directory_offset: Offset(0),
+            directory_confirmed_at: None,
+            directory_source: None,
+            next_config_offset: None,
+            log_limiter: LogLimiter::default(),
         }
     }
 
-    /// The version of the configuration; zero where none is known.
-    pub(crate) fn version(&self) -> u64 {
+    /// The version of the configuration; zero if none is known.
+    pub(crate) fn config_version(&self) -> u64 {
         self.table.as_ref().map_or(0, |table| table.version)
     }
 
-    /// Whether requests can be routed.
+    /// Whether both the configuration and the directory are known, so that requests can be routed.
     pub(crate) fn is_complete(&self) -> bool {
-        self.table.is_some() && self.listed
+        self.table.is_some() && self.directory_loaded
     }
 
-    /// Takes in a copy of the store's. Its directory is used only where none was read, since servers that have left
-    /// meanwhile may stand in it; the configuration has a version.
-    pub(crate) fn learn_snapshot(&mut self, snapshot: Snapshot) -> bool {
+    /// Applies a snapshot from the store and returns whether anything changed.
+    ///
+    /// Its directory may list servers that have left since, so it is used only if none is known.
+    pub(crate) fn apply_snapshot(&mut self, snapshot: Snapshot) -> bool {
         let from = "copy";
         let mut changed = false;
         if let Some(config) = snapshot.config() {
-            changed |= self.learn(&config, from);
+            changed |= self.apply_config(&config, from);
         }
-        if !self.listed {
+        if !self.directory_loaded {
             let entries = snapshot.servers;
             event!(
                 info,
@@ -85,25 +85,25 @@
                 servers = entries.len(),
                 from = from
             );
-            changed |= !copied(self, entries).is_empty();
+            changed |= !replace_directory(self, entries).is_empty();
         }
         changed
     }
 
-    /// Takes in a configuration unless it is older than the one known. Tells whether it is new.
-    pub(crate) fn learn(&mut self, raw: &bytes::Bytes, from: &str) -> bool {
-        if self.raw.as_ref() == Some(raw) {
+    /// Applies a configuration if it is newer than the known one, and returns whether it was.
+    pub(crate) fn apply_config(&mut self, raw: &bytes::Bytes, from: &str) -> bool {
+        if self.redacted_config.as_ref() == Some(raw) {
             return false;
         }
-        let table = match table(raw) {
+        let table = match decode_config(raw) {
             Ok(table) => table,
             Err(reason) => {
                 event!(error, "config_refused", from = from, reason = reason);
                 return false;
             }
         };
-        let known = self.version();
-        // Never back: a read that was under way, or a peer that lags, may bring an older version.
+        let known = self.config_version();
+        // A read in flight or a lagging peer may deliver an older version.
         if self.table.is_some() && table.version <= known {
             return false;
         }
@@ -117,7 +117,7 @@
             from = from
         );
         self.table = Some(Arc::new(table));
-        self.raw = match without_keys(raw) {
+        self.redacted_config = match redact_keys(raw) {
             Ok(raw) => Some(raw),
             Err(error) => {
                 event!(warn, "config_not_copied", from = from, reason = error);
@@ -128,25 +128,30 @@
     }
 }
 
-/// Takes in the newest record of each server; gives what changed.
-pub(super) fn whole(world: &mut World, records: &[Keyed], lenient: bool) -> Vec<Change> {
-    let first = !world.listed;
+/// Applies the latest records of all servers and returns what changed. Servers without a record are
+/// removed unless `keep_missing` is set.
+pub(super) fn apply_all(
+    routing: &mut Routing,
+    records: &[Record],
+    keep_missing: bool,
+) -> Vec<Change> {
+    let initial = !routing.directory_loaded;
     let mut changes: Vec<Change> = records
         .iter()
-        .filter_map(|record| apply(world, record, first))
+        .filter_map(|record| apply_record(routing, record, initial))
         .collect();
     let present = records.iter().filter(|record| record.value.is_some());
     let present: HashSet<&str> = present.map(|record| record.key.as_str()).collect();
-    if !lenient {
-        changes.extend(retain(world, |name| present.contains(name)));
+    if !keep_missing {
+        changes.extend(remove_missing(routing, |name| present.contains(name)));
     }
-    world.listed = true;
+    routing.directory_loaded = true;
     changes
 }
 
-/// Takes in the directory of another VM; gives what changed.
-pub(super) fn copied(world: &mut World, entries: Vec<Arc<Entry>>) -> Vec<Change> {
-    let first = !world.listed;
+/// Replaces the directory with a copy and returns what changed.
+pub(super) fn replace_directory(routing: &mut Routing, entries: Vec<Arc<Entry>>) -> Vec<Change> {
+    let initial = !routing.directory_loaded;
     let present: HashSet<Arc<str>> = entries
         .iter()
         .map(|entry| Arc::clone(&entry.name))
@@ -154,87 +159,92 @@
     let mut changes = Vec::new();
     for entry in entries {
         let change = Change::Set(entry);
-        if apply_change(world, &change, first) {
+        if apply_change(routing, &change, initial) {
             changes.push(change);
         }
     }
-    changes.extend(retain(world, |name| present.contains(name)));
-    world.listed = true;
+    changes.extend(remove_missing(routing, |name| present.contains(name)));
+    routing.directory_loaded = true;
     changes
 }
 
-fn retain(world: &mut World, stays: impl Fn(&str) -> bool) -> Vec<Change> {
-    let entries = world.directory.iter();
+fn remove_missing(routing: &mut Routing, is_present: impl Fn(&str) -> bool) -> Vec<Change> {
+    let entries = routing.directory.iter();
     let missing: Vec<Change> = entries
-        .filter(|entry| !stays(&entry.name))
+        .filter(|entry| !is_present(&entry.name))
         .map(|entry| Change::Removed(Arc::clone(&entry.name)))
         .collect();
     for change in &missing {
-        apply_change(world, change, false);
+        apply_change(routing, change, false);
     }
     missing
 }
 
-/// Takes in one record; gives what it changes. It is logged unless the record is one of the `first`.
-pub(super) fn apply(world: &mut World, record: &Keyed, first: bool) -> Option<Change> {
-    let change = match server(record) {
+/// Applies one record and returns the change, if any. Changes of the `initial` read are not logged.
+pub(super) fn apply_record(
+    routing: &mut Routing,
+    record: &Record,
+    initial: bool,
+) -> Option<Change> {
+    let change = match decode_server(record) {
         Ok(change) => change,
         Err(reason) => {
-            // Another writer's, or rubbish: it names no server to use, and the others hold.
+            // A malformed record makes only its own server unusable.
             let raw = record.value.as_deref().unwrap_or_default();
-            if Arc::make_mut(&mut world.directory).refuse(&record.key, raw) {
+            if Arc::make_mut(&mut routing.directory).note_refused(&record.key, raw) {
                 event!(warn, "server_refused", server = record.key, reason = reason);
             }
             Change::Removed(record.key.as_str().into())
         }
     };
-    apply_change(world, &change, first).then_some(change)
+    apply_change(routing, &change, initial).then_some(change)
 }
 
-/// Takes in one change; tells whether it changes anything.
-pub(super) fn apply_change(world: &mut World, change: &Change, first: bool) -> bool {
-    if !world.directory.differs(change) {
+/// Applies one change and returns whether it had an effect. Changes of the `initial` read are not
+/// logged.
+pub(super) fn apply_change(routing: &mut Routing, change: &Change, initial: bool) -> bool {
+    if !routing.directory.would_change(change) {
         return false;
     }
-    let before = world.directory.named(change.name()).cloned();
-    Arc::make_mut(&mut world.directory).apply(change.clone());
-    if !first && world.lines.take(Instant::now()) {
-        log_change(before, world.directory.named(change.name()));
+    let before = routing.directory.by_name(change.name()).cloned();
+    Arc::make_mut(&mut routing.directory).apply(change.clone());
+    if !initial && routing.log_limiter.allow(Instant::now()) {
+        log_change(before, routing.directory.by_name(change.name()));
     }
     true
 }
 
-/// Lines of a second about single servers. A release of thousands of servers is told in part.
+/// Limits the rate of log lines about single servers, since a rollout may change thousands at once.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Lines {
-    since: Option<Instant>,
-    told: u32,
-    untold: u32,
+pub(crate) struct LogLimiter {
+    window_start: Option<Instant>,
+    logged: u32,
+    suppressed: u32,
 }
 
-/// Lines of one second.
-const LINES: u32 = 32;
-const SECOND: Duration = Duration::from_secs(1);
+const MAX_LINES_PER_WINDOW: u32 = 32;
+const LOG_WINDOW: Duration = Duration::from_secs(1);
 
-impl Lines {
-    /// Whether one more line may be written. Those that were left out are counted in one line later.
-    fn take(&mut self, now: Instant) -> bool {
+impl LogLimiter {
+    /// Whether one more line may be written. The number of suppressed lines is logged in a later
+    /// window.
+    fn allow(&mut self, now: Instant) -> bool {
         if self
-            .since
-            .is_none_or(|since| now.saturating_duration_since(since) >= SECOND)
+            .window_start
+            .is_none_or(|start| now.saturating_duration_since(start) >= LOG_WINDOW)
         {
-            if self.untold > 0 {
-                event!(info, "server_changes_untold", count = self.untold);
+            if self.suppressed > 0 {
+                event!(info, "server_changes_untold", count = self.suppressed);
             }
             *self = Self {
-                since: Some(now),
+                window_start: Some(now),
                 ..Self::default()
             };
         }
-        let fits = self.told < LINES;
-        self.told += u32::from(fits);
-        self.untold += u32::from(!fits);
-        fits
+        let allowed = self.logged < MAX_LINES_PER_WINDOW;
+        self.logged += u32::from(allowed);
+        self.suppressed += u32::from(!allowed);
+        allowed
     }
 }
 
