--- a/src/gateway/conversation/assemble.rs
+++ b/src/gateway/conversation/assemble.rs
@@ -1,6 +1,6 @@
-//! Puts together what was said before a turn.
+//! Collects the turns that precede a turn.
 
-use super::{Gateway, HISTORY_BYTES};
+use super::{Gateway, MAX_HISTORY_BYTES};
 use crate::code::{Code, Failure};
 use crate::conversation::{Id, Turn, Walk};
 use crate::gateway::peers::{Peer, Question, Reply};
@@ -9,32 +9,32 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// VMs that are asked where a turn is: members may disagree for a moment on who comes first.
-const ASKED: usize = 3;
-/// How often one VM is asked: the holder that it names first may have just ended.
-const TWICE: usize = 2;
-/// How long one VM is waited for: twice as long as a small one takes to read a bucket when many ask.
-/// The next one is asked after that, while there is still time.
-const PATIENCE: Duration = Duration::from_millis(600);
-/// Turns that are looked for one by one, where each VM holds only one of them.
-const FETCHES: usize = 64;
-/// When a caller may come back whose conversation can't be read now: the store's short troubles and a
-/// VM's restart last about as long.
-const COME_BACK: Duration = Duration::from_millis(600);
+/// Home VMs that are asked where a turn is. More than one, since VMs may disagree for a moment on
+/// their order.
+const MAX_HOMES_ASKED: usize = 3;
+/// Times one home VM is asked: the VM that it names first may just have exited.
+const MAX_ASKS_PER_HOME: usize = 2;
+/// Time limit for a home VM to answer, which may include reading the bucket from the store.
+const LOCATE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Limit on fetches for one history, if every turn is on a different VM.
+const MAX_FETCHES: usize = 64;
+/// `Retry-After` of a request whose history can't be read at the moment.
+const RETRY_AFTER: Duration = Duration::from_millis(600);
 
 impl Gateway {
-    /// The turns that lead to `last`, the oldest first.
+    /// The turns of a conversation up to `last`, oldest first.
     ///
     /// # Errors
-    /// [`Code::UnknownTurn`] where there certainly is no such turn, [`Code::HistoryAway`] where that
-    /// can't be told now, [`Code::TooLarge`] where the conversation passes the bound.
+    /// [`Code::UnknownTurn`] if a turn does not exist, [`Code::HistoryAway`] if that can't be
+    /// determined at the moment, [`Code::TooLarge`] if the conversation exceeds the size limit.
     pub(crate) async fn history(self: &Rc<Self>, last: &Id) -> Result<Vec<Rc<Turn>>, Failure> {
-        let all = &self.conversations;
-        for _ in 0..FETCHES {
-            let walk = all
-                .cache
-                .borrow_mut()
-                .walk(Instant::now(), last, HISTORY_BYTES);
+        let conversations = &self.conversations;
+        for _ in 0..MAX_FETCHES {
+            let walk =
+                conversations
+                    .cache
+                    .borrow_mut()
+                    .walk(Instant::now(), last, MAX_HISTORY_BYTES);
             let missing = match walk {
                 Walk::Whole(turns) => return Ok(turns),
                 Walk::TooLong => {
@@ -45,25 +45,25 @@
                 }
                 Walk::Missing(id) => id,
             };
-            self.fetch(&missing).await?;
+            self.fetch_turn(&missing).await?;
         }
-        Err(away())
+        Err(history_unavailable())
     }
 
-    /// Brings a turn, and what is with it, into memory.
-    async fn fetch(self: &Rc<Self>, id: &Id) -> Result<(), Failure> {
+    /// Fetches a turn, and the turns before it as far as the same VM has them, into memory.
+    async fn fetch_turn(self: &Rc<Self>, id: &Id) -> Result<(), Failure> {
         let bucket = self.conversations.layout.bucket(id);
-        for home in self.homes(bucket).into_iter().take(ASKED) {
-            match self.fetch_by(&home, id).await {
-                Found::Here => return Ok(()),
-                Found::Nowhere => return Err(unknown()),
-                Found::Unknown => {}
+        for home in self.home_vms(bucket).into_iter().take(MAX_HOMES_ASKED) {
+            match self.fetch_through_home(&home, id).await {
+                Lookup::Cached => return Ok(()),
+                Lookup::NotFound => return Err(unknown_turn()),
+                Lookup::Unknown => {}
             }
         }
-        // The VMs that should know are gone or cut off.
-        match self.conversations.seek(id).await {
+        // The home VMs are gone or unreachable.
+        match self.conversations.find_in_store(id).await {
             Ok(true) => Ok(()),
-            Ok(false) => Err(unknown()),
+            Ok(false) => Err(unknown_turn()),
             Err(fault) => {
                 event!(
                     warn,
@@ -72,56 +72,57 @@
                     bucket = bucket,
                     reason = fault
                 );
-                Err(away())
+                Err(history_unavailable())
             }
         }
     }
 
-    /// Asks one VM where a turn is, and gets it from there.
-    async fn fetch_by(self: &Rc<Self>, home: &Peer, id: &Id) -> Found {
+    /// Asks one home VM where a turn is, and fetches it from there.
+    async fn fetch_through_home(self: &Rc<Self>, home: &Peer, id: &Id) -> Lookup {
         let mut lost = None;
-        for _ in 0..TWICE {
+        for _ in 0..MAX_ASKS_PER_HOME {
             let reply = if home.vm == self.settings.vm {
                 Some(self.locate(id, lost).await)
             } else {
                 let turn = id.clone();
                 let question = Question::Locate { turn, lost };
-                let reply = timeout(PATIENCE, self.peers.ask(home.address, &question));
+                let reply = timeout(LOCATE_TIMEOUT, self.peers.ask(home.address, &question));
                 reply.await.ok().flatten()
             };
             let holder = match reply {
                 Some(Reply::HeldAt(holder)) => holder,
-                Some(Reply::NoTurn) => return Found::Nowhere,
-                _ => return Found::Unknown,
+                Some(Reply::NoTurn) => return Lookup::NotFound,
+                _ => return Lookup::Unknown,
             };
             if holder == self.address() {
-                // This VM was named by another one, and may have dropped the turn since.
-                if self.conversations.find(id).is_some() {
-                    return Found::Here;
+                // Another VM named this one, which may have dropped the turn since.
+                if self.conversations.find_cached(id).is_some() {
+                    return Lookup::Cached;
                 }
             } else if self.fetch_from(holder, id).await {
-                return Found::Here;
+                return Lookup::Cached;
             }
             lost = Some(holder);
         }
-        Found::Unknown
+        Lookup::Unknown
     }
 }
 
-/// What one VM could tell of a turn.
-enum Found {
-    /// It is in memory now.
-    Here,
-    /// There is no such turn: the store, which has each one before its answer ends, does not.
-    Nowhere,
+/// Result of asking one home VM for a turn.
+enum Lookup {
+    /// The turn is in memory.
+    Cached,
+    /// The turn does not exist: every turn is at the store before its answer ends, and the store
+    /// does not have it.
+    NotFound,
     Unknown,
 }
 
-fn unknown() -> Failure {
+fn unknown_turn() -> Failure {
     Failure::refused(Code::UnknownTurn, "there is no such turn to go on from")
 }
 
-fn away() -> Failure {
+fn history_unavailable() -> Failure {
     let failure = Failure::refused(Code::HistoryAway, "what was said before can't be read now");
-    failure.retry_after(COME_BACK)
+    failure.retry_after(RETRY_AFTER)
 }
--- a/src/gateway/conversation/exchange.rs
+++ b/src/gateway/conversation/exchange.rs
@@ -1,4 +1,4 @@
-//! Turns on their way between VMs: sealed messages over HTTP, since they do not fit into a datagram.
+//! Exchanges turns between VMs, as sealed messages over HTTP: turns do not fit into a datagram.
 
 use super::Gateway;
 use crate::conversation::{Id, Turn};
@@ -16,30 +16,30 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The path at which a VM takes these messages.
+/// HTTP path of these messages.
 pub(in crate::gateway) const PATH: &str = "/turns";
-/// How long one exchange may take. It takes 5 ms on a good day.
-const TIMEOUT: Duration = Duration::from_millis(300);
-/// Bytes of turns in one answer, of which the last may be as large again.
-const ANSWER_BYTES: usize = 1 << 20;
-/// Bytes of a message at the most.
-const MESSAGE_BYTES: usize = 2 << 20;
+/// Time limit of one exchange, connecting included.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Turns are added to an answer until this size is exceeded.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// Size limit of a message.
+const MAX_MESSAGE_BYTES: usize = 2 << 20;
 
-/// What one VM sends to another.
+/// A message to another VM.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) enum Message {
-    /// Give a turn, and those that lead to it.
+    /// Return a turn and the turns before it.
     #[serde(rename = "f")]
     Fetch(Id),
-    /// Record a turn that the store does not take from the VM that served it.
+    /// Record a turn that the sending VM cannot record itself.
     #[serde(rename = "r")]
     Record(Turn),
 }
 
-/// What it answers.
+/// The answer to a [`Message`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) enum Answer {
-    /// Turns, the newest first; none where the turn is not there.
+    /// Turns, newest first; empty if the requested turn is not in memory.
     #[serde(rename = "t")]
     Turns(Vec<Rc<Turn>>),
     /// Whether the store has the turn.
@@ -47,7 +47,7 @@
     Recorded(bool),
 }
 
-/// Sends messages to other VMs.
+/// Sends messages to other VMs over HTTP.
 #[derive(Debug)]
 pub(super) struct Client {
     http: RefCell<reqwest::Client>,
@@ -57,17 +57,17 @@
 impl Client {
     pub(super) fn new(key: &str) -> Self {
         Self {
-            http: RefCell::new(client()),
+            http: RefCell::new(http_client()),
             sealer: Sealer::new(key),
         }
     }
 }
 
-fn client() -> reqwest::Client {
+fn http_client() -> reqwest::Client {
     reqwest::Client::builder()
         .retry(reqwest::retry::never())
-        .timeout(TIMEOUT)
-        .connect_timeout(TIMEOUT)
+        .timeout(EXCHANGE_TIMEOUT)
+        .connect_timeout(EXCHANGE_TIMEOUT)
         .tcp_nodelay(true)
         .pool_max_idle_per_host(2)
         .no_proxy()
@@ -76,28 +76,29 @@
 }
 
 impl Gateway {
-    /// Sends a message to another VM; none where it does not answer.
+    /// Sends a message to another VM; none if it fails or does not answer.
     pub(super) async fn exchange(&self, peer: SocketAddr, message: &Message) -> Option<Answer> {
-        let exchange = &self.conversations.exchange;
+        let client = &self.conversations.exchange_client;
         let port = self.settings.listen.operators.port();
         let url = format!("http://{}{PATH}", SocketAddr::new(peer.ip(), port));
-        let http = exchange.http.borrow().clone();
-        let sent = http.post(url).body(exchange.sealer.seal(message)).send();
+        let http = client.http.borrow().clone();
+        let sent = http.post(url).body(client.sealer.seal(message)).send();
         let reply = async { sent.await?.error_for_status()?.bytes().await };
         match reply.await {
-            Ok(bytes) => exchange.sealer.open(&bytes),
+            Ok(bytes) => client.sealer.open(&bytes),
             Err(error) => {
                 event!(info, "exchange_failed", peer = peer, reason = error);
-                // A connection that has gone silent shows by the time alone.
+                // A dead connection shows only as a timeout; start with new ones.
                 if error.is_timeout() {
-                    exchange.http.replace(client());
+                    client.http.replace(http_client());
                 }
                 None
             }
         }
     }
 
-    /// Gets a turn, and those that lead to it, from the VM that has them.
+    /// Fetches a turn and the turns before it into the cache. Returns whether the turn was among
+    /// them.
     pub(super) async fn fetch_from(&self, holder: SocketAddr, id: &Id) -> bool {
         let message = Message::Fetch(id.clone());
         let Some(Answer::Turns(turns)) = self.exchange(holder, &message).await else {
@@ -112,22 +113,22 @@
     }
 }
 
-/// Answers a message of another VM.
+/// Handles a message from another VM.
 pub(in crate::gateway) async fn serve(
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    let body = Limited::new(request.into_body(), MESSAGE_BYTES);
+    let body = Limited::new(request.into_body(), MAX_MESSAGE_BYTES);
     let bytes = body
         .collect()
         .await
         .map(http_body_util::Collected::to_bytes);
-    let sealer = &gateway.conversations.exchange.sealer;
+    let sealer = &gateway.conversations.exchange_client.sealer;
     let message = bytes.ok().and_then(|bytes| sealer.open(&bytes));
     let answer = match message {
-        Some(Message::Fetch(id)) => gateway.turns_to(&id),
+        Some(Message::Fetch(id)) => gateway.answer_fetch(&id),
         Some(Message::Record(turn)) => {
-            Answer::Recorded(gateway.conversations.record_for(turn).await)
+            Answer::Recorded(gateway.conversations.record_for_peer(turn).await)
         }
         None => {
             event!(warn, "exchange_refused");
@@ -140,13 +141,13 @@
 }
 
 impl Gateway {
-    fn turns_to(&self, id: &Id) -> Answer {
-        let all = &self.conversations;
-        if all.find(id).is_none() {
+    fn answer_fetch(&self, id: &Id) -> Answer {
+        let conversations = &self.conversations;
+        if conversations.find_cached(id).is_none() {
             return Answer::Turns(Vec::new());
         }
-        let mut cache = all.cache.borrow_mut();
-        let (turns, _) = cache.back(Instant::now(), id, ANSWER_BYTES);
+        let mut cache = conversations.cache.borrow_mut();
+        let (turns, _) = cache.back(Instant::now(), id, MAX_ANSWER_BYTES);
         Answer::Turns(turns)
     }
 }
--- a/src/gateway/conversation/lane.rs
+++ b/src/gateway/conversation/lane.rs
@@ -1,8 +1,8 @@
 //! Writes the turns of one bucket to the store.
 //!
-//! Load it answers: a turn each few milliseconds, each of which holds up the end of an answer; a store
-//! whose answers are late or lost; and a store that is away, which must not be met by every turn. A
-//! record is immutable, so a write whose answer is late is simply sent again beside the first.
+//! The end of an answer waits for its turn to be written. Turns that arrive during a write share
+//! the next one, a write without an answer is sent again (turns are immutable), and a store that is
+//! unavailable is probed by one bucket at a time.
 
 use super::Conversations;
 use crate::clock;
@@ -16,27 +16,26 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// Bytes of one write; the store takes 2 MB.
-const WRITE_BYTES: usize = 1 << 20;
-/// The pause after a failed write, at first and at most. While the store is away each VM makes about
-/// three writes a second, and the ends of answers that wait go out 0.3 s after it is back.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(300));
-/// How long a bucket waits to be told that the store is back before it tries by itself.
-const UNTOLD: Duration = Duration::from_millis(1500);
+/// Size limit of one write; the store accepts 2 MB.
+const MAX_WRITE_BYTES: usize = 1 << 20;
+/// Initial and maximum delay after a failed write.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(300));
+/// How long a bucket waits for another one to find that the store has recovered before it tries
+/// itself.
+const RECOVERY_WAIT: Duration = Duration::from_millis(1500);
 
-/// The turns of one bucket that the store has not taken yet.
+/// Turns of one bucket that are not recorded at the store yet.
 #[derive(Debug, Default)]
-pub(super) struct Lane {
+pub(super) struct BucketWriter {
     pub(super) outbox: RefCell<Outbox>,
-    writing: Cell<bool>,
-    /// Whether the last write failed.
+    running: Cell<bool>,
     pub(super) failing: Cell<bool>,
     written: Notify,
 }
 
-impl Lane {
-    /// Waits until the store has a turn.
-    pub(super) async fn recorded(&self, id: &Id) {
+impl BucketWriter {
+    /// Waits until a turn is recorded at the store.
+    pub(super) async fn wait_until_recorded(&self, id: &Id) {
         loop {
             let written = self.written.notified();
             if !self.outbox.borrow().lacks(id) {
@@ -48,82 +47,83 @@
 }
 
 impl Conversations {
-    /// Has a turn recorded, at once or as soon as the store takes it.
-    pub(super) fn post(self: &Rc<Self>, bucket: Bucket, turn: Rc<Turn>) -> Rc<Lane> {
-        let lane = self.lane(bucket);
-        lane.outbox.borrow_mut().push(turn);
-        if !lane.writing.replace(true) {
-            tokio::task::spawn_local(Rc::clone(self).write(bucket, Rc::clone(&lane)));
+    /// Queues a turn to be recorded, and starts the writer of its bucket if it is idle.
+    pub(super) fn enqueue(self: &Rc<Self>, bucket: Bucket, turn: Rc<Turn>) -> Rc<BucketWriter> {
+        let writer = self.writer(bucket);
+        writer.outbox.borrow_mut().push(turn);
+        if !writer.running.replace(true) {
+            tokio::task::spawn_local(Rc::clone(self).write_pending(bucket, Rc::clone(&writer)));
         }
-        lane
+        writer
     }
 
-    /// Writes until nothing is left; turns that come meanwhile share the next write.
-    async fn write(self: Rc<Self>, bucket: Bucket, lane: Rc<Lane>) {
-        let mut pause = PAUSE.0;
+    /// Writes queued turns until none are left.
+    async fn write_pending(self: Rc<Self>, bucket: Bucket, writer: Rc<BucketWriter>) {
+        let mut delay = RETRY_BACKOFF.0;
         loop {
-            lane.outbox.borrow_mut().expire(clock::wall_ms());
-            let batch = lane.outbox.borrow().batch(WRITE_BYTES);
+            writer.outbox.borrow_mut().expire(clock::wall_ms());
+            let batch = writer.outbox.borrow().batch(MAX_WRITE_BYTES);
             if batch.is_empty() {
-                lane.writing.set(false);
+                writer.running.set(false);
                 return;
             }
-            match self.append(bucket, &batch).await {
+            match self.append_batch(bucket, &batch).await {
                 Ok(()) => {
-                    lane.outbox.borrow_mut().recorded(&batch);
-                    lane.written.notify_waiters();
-                    self.store_takes(&lane, bucket);
-                    pause = PAUSE.0;
+                    writer.outbox.borrow_mut().recorded(&batch);
+                    writer.written.notify_waiters();
+                    self.note_store_success(&writer, bucket);
+                    delay = RETRY_BACKOFF.0;
                 }
                 Err(fault) => {
-                    self.miss();
-                    if !lane.failing.replace(true) {
+                    self.note_store_failure();
+                    if !writer.failing.replace(true) {
                         event!(warn, "turns_stuck", bucket = bucket, reason = fault);
                     }
-                    self.pause(pause).await;
-                    pause = (pause * 2).min(PAUSE.1);
+                    self.wait_to_retry(delay).await;
+                    delay = (delay * 2).min(RETRY_BACKOFF.1);
                 }
             }
         }
     }
 
-    fn store_takes(&self, lane: &Lane, bucket: Bucket) {
-        self.misses.set(0);
-        self.back.notify_waiters();
-        if lane.failing.replace(false) {
+    fn note_store_success(&self, writer: &BucketWriter, bucket: Bucket) {
+        self.consecutive_failures.set(0);
+        self.store_recovered.notify_waiters();
+        if writer.failing.replace(false) {
             event!(info, "turns_flow", bucket = bucket);
         }
     }
 
-    /// The pause after a failed write. While the store is away one bucket tries it for all.
-    async fn pause(&self, time: Duration) {
-        if self.is_away() && self.probing.get() {
+    /// Waits after a failed write. While the store is unavailable, one bucket retries after
+    /// `delay`, and the others wait for it to succeed.
+    async fn wait_to_retry(&self, delay: Duration) {
+        if self.is_store_down() && self.probing.get() {
             tokio::select! {
-                () = self.back.notified() => {}
-                () = sleep(UNTOLD) => {}
+                () = self.store_recovered.notified() => {}
+                () = sleep(RECOVERY_WAIT) => {}
             }
             return;
         }
         self.probing.set(true);
-        sleep(time).await;
+        sleep(delay).await;
         self.probing.set(false);
     }
 
-    async fn append(&self, bucket: Bucket, batch: &[Rc<Turn>]) -> Result<(), Fault> {
-        let records: Vec<Keyed> = batch.iter().map(|turn| record(turn)).collect();
+    async fn append_batch(&self, bucket: Bucket, batch: &[Rc<Turn>]) -> Result<(), Fault> {
+        let records: Vec<Keyed> = batch.iter().map(|turn| turn_record(turn)).collect();
         let topic = turn_topic(self.layout.topic(bucket));
-        let part = self.layout.partition(bucket);
+        let partition = self.layout.partition(bucket);
         let store = self.store.borrow().clone();
-        let done = store.append_surely(&topic, part, &records, None).await;
-        if matches!(done, Err(Fault::Unknown(_))) {
+        let result = store.append_surely(&topic, partition, &records, None).await;
+        if matches!(result, Err(Fault::Unknown(_))) {
             self.store.borrow_mut().reconnect();
         }
-        done
+        result
     }
 }
 
-/// The record of a turn.
-pub(super) fn record(turn: &Turn) -> Keyed {
+/// The store's record of a turn.
+pub(super) fn turn_record(turn: &Turn) -> Keyed {
     Keyed {
         key: turn.id.to_string(),
         value: Some(turn.encode()),
--- a/src/gateway/conversation/load.rs
+++ b/src/gateway/conversation/load.rs
@@ -1,7 +1,7 @@
-//! Reads a bucket of turns at the store.
+//! Reads buckets of turns from the store.
 //!
-//! Load it answers: the loss of all VMs, after which every program that goes on asks for a turn that
-//! no memory holds. Each bucket is read by one VM, once for all that ask meanwhile.
+//! After the loss of all VMs every active program asks for a turn that no VM has in memory. Each
+//! bucket is then read by one VM, once for all requests that wait for it.
 
 use super::{Conversations, Gateway};
 use crate::conversation::{Bucket, Id, Turn};
@@ -17,42 +17,44 @@
 use tokio::sync::Mutex;
 use tokio::time::{Instant, timeout};
 
-/// How long one read may take before it is made again on another connection. A small VM takes 40 ms
-/// for one bucket, and after the loss of all VMs reads several at a time.
-const READ: Duration = Duration::from_millis(800);
-/// Reads of one bucket before it counts as not readable now.
-const READS: usize = 2;
+/// Time limit of one read; the next one uses a new connection.
+const READ_TIMEOUT: Duration = Duration::from_millis(800);
+/// Reads of one bucket before it counts as unreadable.
+const MAX_READS: usize = 2;
 
-/// The last read of a bucket: when it began, and what came of it.
-type Read = Option<(Instant, Result<(), Fault>)>;
+/// Start time and result of the last read of a bucket.
+type LastRead = Option<(Instant, Result<(), Fault>)>;
 
-/// The last read of each bucket; locked while the bucket is being read.
+/// The last read of each bucket; locked while a read is in progress.
 #[derive(Debug, Default)]
-pub(super) struct Loads {
-    buckets: RefCell<HashMap<Bucket, Rc<Mutex<Read>>>>,
+pub(super) struct BucketReads {
+    buckets: RefCell<HashMap<Bucket, Rc<Mutex<LastRead>>>>,
 }
 
 impl Conversations {
-    /// Takes a bucket into memory as the store has it now, or had it after this call began.
-    async fn load(&self, bucket: Bucket) -> Result<(), Fault> {
-        let asked = Instant::now();
-        let load = {
-            let mut buckets = self.loads.buckets.borrow_mut();
+    /// Reads a bucket into memory, unless another read of it started after this call.
+    async fn load_bucket(&self, bucket: Bucket) -> Result<(), Fault> {
+        let requested_at = Instant::now();
+        let bucket_lock = {
+            let mut buckets = self.bucket_reads.buckets.borrow_mut();
             Rc::clone(buckets.entry(bucket).or_default())
         };
-        let mut last = load.lock().await;
-        // A failure is shared as well: if each that waits tried again, the last would wait for all.
-        if let Some((_, done)) = last.as_ref().filter(|(began, _)| *began > asked) {
-            return done.clone();
+        let mut last_read = bucket_lock.lock().await;
+        // Failures are shared too, or the last waiter would wait for the retries of all others.
+        if let Some((_, result)) = last_read
+            .as_ref()
+            .filter(|(began, _)| *began > requested_at)
+        {
+            return result.clone();
         }
         let began = Instant::now();
-        let done = self.load_now(began, bucket).await;
-        *last = Some((began, done.clone()));
-        done
+        let result = self.read_into_cache(began, bucket).await;
+        *last_read = Some((began, result.clone()));
+        result
     }
 
-    async fn load_now(&self, began: Instant, bucket: Bucket) -> Result<(), Fault> {
-        let turns = self.take_in(began, bucket, &self.read(bucket).await?);
+    async fn read_into_cache(&self, began: Instant, bucket: Bucket) -> Result<(), Fault> {
+        let turns = self.cache_records(began, bucket, &self.read_bucket(bucket).await?);
         event!(
             info,
             "turns_loaded",
@@ -63,78 +65,78 @@
         Ok(())
     }
 
-    /// Another VM has a turn in memory.
-    pub(in crate::gateway) fn told(&self, turn: Id, holder: SocketAddr) {
+    /// Notes which VM has a turn in memory.
+    pub(in crate::gateway) fn set_holder(&self, turn: Id, holder: SocketAddr) {
         let mut pointers = self.pointers.borrow_mut();
         pointers.set(Instant::now(), turn, holder);
     }
 
-    /// Takes those turns of a bucket into memory that went through other partitions than their own.
-    async fn load_detours(&self, bucket: Bucket) -> Result<(), Fault> {
-        let others = self.layout.others(bucket).into_iter();
-        let others = others.map(|part| self.newest(DETOURED_TURN_TOPIC, part));
-        // A partition that is away now may have been there when a turn went through it.
-        for other in futures::future::join_all(others).await {
-            let mut records = other?.records;
-            records.retain(|record| self.is_of(bucket, record));
-            self.take_in(Instant::now(), bucket, &records);
+    /// Reads the turns of a bucket that were recorded in fallback partitions.
+    async fn load_fallback_records(&self, bucket: Bucket) -> Result<(), Fault> {
+        let reads = self.layout.others(bucket).into_iter();
+        let reads = reads.map(|partition| self.read_newest(DETOURED_TURN_TOPIC, partition));
+        // All have to be readable: one that is unavailable may hold the turn.
+        for read in futures::future::join_all(reads).await {
+            let mut records = read?.records;
+            records.retain(|record| self.belongs_to(bucket, record));
+            self.cache_records(Instant::now(), bucket, &records);
         }
         Ok(())
     }
 
-    /// Looks for a turn at the store, and takes it into memory with all of its bucket.
-    pub(super) async fn seek(&self, id: &Id) -> Result<bool, Fault> {
+    /// Looks a turn up at the store, reading all of its bucket into memory.
+    pub(super) async fn find_in_store(&self, id: &Id) -> Result<bool, Fault> {
         let bucket = self.layout.bucket(id);
-        let own = self.load(bucket).await;
-        if self.find(id).is_some() {
+        let own_result = self.load_bucket(bucket).await;
+        if self.find_cached(id).is_some() {
             return Ok(true);
         }
-        // Few turns take this way, so that it is looked at last.
-        self.load_detours(bucket).await?;
-        if self.find(id).is_some() {
+        // Checked last, since few turns are recorded there.
+        self.load_fallback_records(bucket).await?;
+        if self.find_cached(id).is_some() {
             return Ok(true);
         }
-        own.map(|()| false)
+        own_result.map(|()| false)
     }
 
-    /// Takes records into memory; gives how many were turns.
-    fn take_in(&self, now: Instant, bucket: Bucket, records: &[Keyed]) -> usize {
-        let mut turns = 0;
+    /// Adds records to the cache; returns how many were turns.
+    fn cache_records(&self, now: Instant, bucket: Bucket, records: &[Keyed]) -> usize {
+        let mut count = 0;
         for record in records {
             let Some(turn) = record.value.as_deref().and_then(Turn::decode) else {
                 event!(warn, "turn_unreadable", bucket = bucket, key = record.key);
                 continue;
             };
-            turns += 1;
+            count += 1;
             self.cache.borrow_mut().insert(now, Rc::new(turn));
         }
-        turns
+        count
     }
 
-    async fn read(&self, bucket: Bucket) -> Result<Vec<Keyed>, Fault> {
+    async fn read_bucket(&self, bucket: Bucket) -> Result<Vec<Keyed>, Fault> {
         let topic = turn_topic(self.layout.topic(bucket));
-        let newest = self.newest(&topic, self.layout.partition(bucket));
+        let newest = self.read_newest(&topic, self.layout.partition(bucket));
         newest.await.map(|newest| newest.records)
     }
 
-    fn is_of(&self, bucket: Bucket, record: &Keyed) -> bool {
+    fn belongs_to(&self, bucket: Bucket, record: &Keyed) -> bool {
         let id = record.key.parse::<Id>();
         id.is_ok_and(|id| self.layout.bucket(&id) == bucket)
     }
 
-    async fn newest(&self, topic: &str, part: u64) -> Result<Newest, Fault> {
-        let mut fault = Fault::Unknown("no read was made".to_owned());
-        // Callers need not find out that the store is away.
-        let reads = if self.is_away() { 1 } else { READS };
-        for _ in 0..reads {
+    async fn read_newest(&self, topic: &str, partition: u64) -> Result<Newest, Fault> {
+        let mut fault = Fault::Unknown("no read was attempted".to_owned());
+        // Don't make callers wait for retries while the store is unavailable.
+        let max_reads = if self.is_store_down() { 1 } else { MAX_READS };
+        for _ in 0..max_reads {
             let store = self.store.borrow().clone();
-            match timeout(READ, store.newest(topic, part)).await {
+            match timeout(READ_TIMEOUT, store.newest(topic, partition)).await {
                 Ok(Ok(newest)) => return Ok(newest),
-                // Nothing was ever written there.
+                // The topic or partition does not exist until its first write.
                 Ok(Err(Fault::Refused(404))) => return Ok(Newest::default()),
                 Ok(Err(error @ Fault::Refused(_))) => return Err(error),
                 Ok(Err(error)) => fault = error,
-                Err(_) => fault = Fault::Unknown("the read took too long".to_owned()),
+                Err(_) => fault = Fault::Unknown("the read timed out".to_owned()),
             }
             self.store.borrow_mut().reconnect();
         }
@@ -143,20 +145,20 @@
 }
 
 impl Gateway {
-    /// Tells another VM where a turn is. `lost` is one that was named before and did not give it.
+    /// Answers which VM has a turn. `lost` is a VM that was named before and did not return it.
     pub(crate) async fn locate(&self, id: &Id, lost: Option<SocketAddr>) -> Reply {
-        let all = &self.conversations;
-        if all.find(id).is_some() {
+        let conversations = &self.conversations;
+        if conversations.find_cached(id).is_some() {
             return Reply::HeldAt(self.address());
         }
-        let told = all.pointers.borrow().get(id);
-        if let Some(holder) = told.filter(|holder| Some(*holder) != lost) {
+        let known_holder = conversations.pointers.borrow().get(id);
+        if let Some(holder) = known_holder.filter(|holder| Some(*holder) != lost) {
             if self.is_member(holder) && !self.peers.is_silent(holder) {
                 return Reply::HeldAt(holder);
             }
-            all.pointers.borrow_mut().remove(id);
+            conversations.pointers.borrow_mut().remove(id);
         }
-        match all.seek(id).await {
+        match conversations.find_in_store(id).await {
             Ok(true) => return Reply::HeldAt(self.address()),
             Ok(false) => {}
             Err(fault) => {
--- a/src/gateway/conversation/mod.rs
+++ b/src/gateway/conversation/mod.rs
@@ -1,10 +1,10 @@
-//! Keeps the turns of conversations, and puts together what was said before a turn.
+//! Stores the turns of conversations and loads the history of a turn.
 //!
-//! The VM that serves a turn records it at the store before the answer ends, and keeps it in memory
-//! for a while. Two other VMs, found by the turn's identity, are told where it is; whoever serves the
-//! next turn asks them, and one that knows nothing reads the turn's bucket at the store. Requests call
-//! [`Gateway::history`] before they are sent and [`Gateway::keep_turn`] after their last event; no part
-//! of this module calls back into the life of a request.
+//! The VM that serves a turn records it at the store before its answer ends, and caches it in
+//! memory. The turn's home VMs, found by hashing its identity, are told which VM has it. The VM
+//! that serves the next turn asks a home VM; a home VM that does not know the turn reads the turn's
+//! bucket from the store. Requests call [`Gateway::history`] before they are sent and
+//! [`Gateway::keep_turn`] after their last event.
 
 mod assemble;
 mod exchange;
@@ -23,8 +23,8 @@
 use crate::conversation::{Bucket, Cache, Id, Layout, Pointers, Turn};
 use crate::platform::records::TURN_TOPICS;
 use crate::platform::store::Store;
-use lane::Lane;
-use load::Loads;
+use lane::BucketWriter;
+use load::BucketReads;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -33,44 +33,43 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a turn that is of no use stays in memory. Most programs go on within 0.3 s; one that
-/// comes back later is read from the store, in about 10 ms.
-const CACHED: Duration = Duration::from_secs(20);
-/// Bytes of turns in memory, at the most.
-const CACHE_BYTES: usize = 12 << 20;
-/// Bytes of one conversation; the largest prompts are of some hundred KB.
-const HISTORY_BYTES: usize = 4 << 20;
-/// Bytes that a caller may send in one turn. The store takes records of 256 KB, and the answer has to
-/// fit as well.
+/// Time after its last use at which a turn is dropped from memory. It can still be read from the
+/// store.
+const CACHE_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_CACHE_BYTES: usize = 12 << 20;
+/// Limit on the turns of one conversation.
+const MAX_HISTORY_BYTES: usize = 4 << 20;
+/// Limit on the input of one turn. Input and answer together have to fit into a record of the
+/// store.
 pub(super) const INPUT_BYTES: usize = 160_000;
-/// Bytes of a whole turn.
-const TURN_BYTES: usize = 250_000;
-/// How long a turn is kept where its route does not say.
-const KEPT: Duration = Duration::from_mins(1);
-/// By how much longer than asked for a record is kept: clocks of VMs differ by some seconds, and a turn
-/// that is gone on from has to outlast the next one without being written again each time.
-const KEPT_TIMES: u32 = 2;
-/// How far the clocks of two VMs may be apart.
-const SKEW: Duration = Duration::from_secs(6);
-/// Waits in a row that ended without a record, in any bucket, after which the store counts as away.
-const AWAY: u32 = 2;
+/// Limit on input and answer of one turn; the store takes records of up to 256 KB.
+const MAX_TURN_BYTES: usize = 250_000;
+/// How long a turn is kept if its route sets no time.
+const DEFAULT_RETENTION: Duration = Duration::from_mins(1);
+/// Factor by which records outlive the time asked for, so that continuing a conversation does not
+/// rewrite its earlier turns each time.
+const RETENTION_FACTOR: u32 = 2;
+/// Largest difference between the clocks of two VMs.
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(6);
+/// Consecutive failures, over all buckets, after which the store counts as unavailable.
+const MAX_STORE_FAILURES: u32 = 2;
 
-/// What this VM keeps, knows and has yet to record.
+/// Cached turns, hints on where turns are, and turns to be recorded.
 #[derive(Debug)]
 pub(crate) struct Conversations {
     store: RefCell<Store>,
     layout: Layout,
     cache: RefCell<Cache>,
     pointers: RefCell<Pointers>,
-    lanes: RefCell<HashMap<Bucket, Rc<Lane>>>,
-    loads: Loads,
-    exchange: exchange::Client,
-    /// Waits in a row without a record.
-    misses: Cell<u32>,
-    /// Whether some bucket tries the store while it is away, which is enough for all.
+    writers: RefCell<HashMap<Bucket, Rc<BucketWriter>>>,
+    bucket_reads: BucketReads,
+    exchange_client: exchange::Client,
+    /// Failed or timed-out writes since the last success.
+    consecutive_failures: Cell<u32>,
+    /// Whether one bucket is already probing the unavailable store on behalf of all.
     probing: Cell<bool>,
-    /// Told when the store takes a record.
-    back: Notify,
+    /// Notified when the store accepts a record.
+    store_recovered: Notify,
 }
 
 impl Conversations {
@@ -81,70 +80,76 @@
                 topics: TURN_TOPICS,
                 partitions,
             },
-            cache: RefCell::new(Cache::new(CACHE_BYTES, CACHED)),
-            pointers: RefCell::new(Pointers::new(CACHED)),
-            lanes: RefCell::default(),
-            loads: Loads::default(),
-            exchange: exchange::Client::new(key),
-            misses: Cell::new(0),
+            cache: RefCell::new(Cache::new(MAX_CACHE_BYTES, CACHE_IDLE_TIMEOUT)),
+            pointers: RefCell::new(Pointers::new(CACHE_IDLE_TIMEOUT)),
+            writers: RefCell::default(),
+            bucket_reads: BucketReads::default(),
+            exchange_client: exchange::Client::new(key),
+            consecutive_failures: Cell::new(0),
             probing: Cell::new(false),
-            back: Notify::new(),
+            store_recovered: Notify::new(),
         }
     }
 
-    fn lane(&self, bucket: Bucket) -> Rc<Lane> {
-        Rc::clone(self.lanes.borrow_mut().entry(bucket).or_default())
+    fn writer(&self, bucket: Bucket) -> Rc<BucketWriter> {
+        Rc::clone(self.writers.borrow_mut().entry(bucket).or_default())
     }
 
-    /// Whether the store takes no records, as far as the last ones tell.
-    fn is_away(&self) -> bool {
-        self.misses.get() >= AWAY
+    /// Whether the store counts as unavailable.
+    fn is_store_down(&self) -> bool {
+        self.consecutive_failures.get() >= MAX_STORE_FAILURES
     }
 
-    /// The store did not take a record in time.
-    fn miss(&self) {
-        self.misses.set(self.misses.get().saturating_add(1));
+    /// Counts a write that failed or timed out.
+    fn note_store_failure(&self) {
+        self.consecutive_failures
+            .set(self.consecutive_failures.get().saturating_add(1));
     }
 
-    /// A turn from memory.
-    fn find(&self, id: &Id) -> Option<Rc<Turn>> {
+    /// Looks a turn up in memory.
+    fn find_cached(&self, id: &Id) -> Option<Rc<Turn>> {
         self.cache.borrow_mut().get(Instant::now(), id)
     }
 
-    /// Turns and bytes in memory, turns that the store lacks, and pointers.
-    pub(super) fn size(&self) -> Size {
-        let lanes = self.lanes.borrow();
+    /// Sizes for the operators' state page.
+    pub(super) fn size(&self) -> Sizes {
+        let writers = self.writers.borrow();
         let cache = self.cache.borrow();
-        Size {
+        Sizes {
             turns: cache.len(),
             bytes: cache.bytes(),
-            unrecorded: lanes.values().map(|lane| lane.outbox.borrow().len()).sum(),
+            unrecorded: writers
+                .values()
+                .map(|writer| writer.outbox.borrow().len())
+                .sum(),
             pointers: self.pointers.borrow().len(),
         }
     }
 }
 
-/// How much is kept.
+/// Sizes for the operators' state page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
-pub(super) struct Size {
+pub(super) struct Sizes {
     turns: usize,
     bytes: usize,
     unrecorded: usize,
     pointers: usize,
 }
 
-/// Until when a record is kept whose turn may be gone on from for `kept` from now on.
-fn until_ms(kept: Duration) -> u64 {
-    clock::wall_ms() + millis(kept * KEPT_TIMES + SKEW)
+/// Unix time in milliseconds until which a record is kept whose turn may be continued for
+/// `retention` from now on.
+fn retention_end_ms(retention: Duration) -> u64 {
+    clock::wall_ms() + millis(retention * RETENTION_FACTOR + MAX_CLOCK_SKEW)
 }
 
-fn millis(time: Duration) -> u64 {
-    u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
 impl Gateway {
-    /// The VMs that are told where the turns of a bucket are, the one that is asked first in front.
-    fn homes(&self, bucket: Bucket) -> Vec<Peer> {
-        self.ranked(&format!("turns/{bucket}"))
+    /// The home VMs of a bucket, in the order in which they are asked. They know which VMs have its
+    /// turns in memory.
+    fn home_vms(&self, bucket: Bucket) -> Vec<Peer> {
+        self.ranked_members(&format!("turns/{bucket}"))
     }
 }
--- a/src/gateway/conversation/record.rs
+++ b/src/gateway/conversation/record.rs
@@ -1,7 +1,7 @@
-//! Makes a finished turn durable before its answer ends.
+//! Records a finished turn at the store before its answer ends.
 
-use super::{Conversations, TURN_BYTES, until_ms};
-use super::{Gateway, KEPT, millis};
+use super::{Conversations, MAX_TURN_BYTES, retention_end_ms};
+use super::{DEFAULT_RETENTION, Gateway, millis};
 use crate::clock;
 use crate::conversation::{Bucket, Id, Transcript, Turn};
 use crate::gateway::peers::Note;
@@ -14,74 +14,74 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// How long the end of an answer waits for the store before other ways are tried beside it. A record
-/// takes 8 ms on a good day; longer waits cost programs their targets, shorter ones send bytes to
-/// other VMs whenever the store stutters.
-const PATIENCE: Duration = Duration::from_millis(200);
-/// The same while the store is known not to take records.
-const SHORT: Duration = Duration::from_millis(20);
-/// How long the other ways may take.
-const ELSEWHERE: Duration = Duration::from_millis(350);
-/// The pause before the other ways are tried again.
-const AGAIN: Duration = Duration::from_millis(250);
-/// How long before a caller's time is over nothing more is written for it. A write that is under way when its
-/// answer is cut may take effect after that: callers whose answer was cut went on from a turn that they were
-/// told nothing of. A write takes 8 ms on a good day.
-const LAST: Duration = Duration::from_millis(100);
-/// VMs that are told where a turn is: one hint in some hundred is lost, and VMs may disagree for a
-/// moment on who comes first.
-const TOLD: usize = 2;
+/// How long the end of an answer waits for the store before fallback partitions and other VMs are
+/// tried as well. Short timeouts send turns to other VMs at every hiccup of the store.
+const STORE_TIMEOUT: Duration = Duration::from_millis(200);
+/// The same while writes to the store are failing.
+const STORE_DOWN_TIMEOUT: Duration = Duration::from_millis(20);
+/// Time limit of a write to the fallback partitions.
+const FALLBACK_TIMEOUT: Duration = Duration::from_millis(350);
+/// Pause between two rounds of fallback writes.
+const FALLBACK_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// No write starts this close to the caller's deadline. A write in progress when the answer is cut
+/// could still take effect, and the store would have a turn that the caller was told is lost.
+const WRITE_CUTOFF: Duration = Duration::from_millis(100);
+/// Home VMs that are told where a turn is. More than one, since a datagram can be lost and VMs may
+/// disagree for a moment on their order.
+const MAX_HOMES_NOTIFIED: usize = 2;
 
-/// Where a turn is kept.
+/// How a turn reached the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kept {
+enum RecordedVia {
     Store,
-    /// At the store, in another partition.
-    Detour,
-    /// At the store, through another VM.
-    Relay,
+    /// Through a fallback partition.
+    FallbackPartition,
+    /// Through another VM.
+    OtherVm,
 }
 
-impl Kept {
-    const fn name(self) -> &'static str {
+impl RecordedVia {
+    const fn label(self) -> &'static str {
         match self {
             Self::Store => "store",
-            Self::Detour => "detour",
-            Self::Relay => "relay",
+            Self::FallbackPartition => "detour",
+            Self::OtherVm => "relay",
         }
     }
 }
 
 impl Gateway {
-    /// Keeps the turn of a request whose last event came; gives whether its answer may end as whole.
+    /// Records the turn of a request after its last event. Returns whether the answer may end as
+    /// complete.
     ///
-    /// An answer that ended before the store has its turn would promise what the loss of all VMs can break.
-    /// While the store is away the end waits, for as long as the caller does; the events have long gone out.
-    pub(crate) async fn keep_turn(self: &Rc<Self>, job: &Job, said: Transcript) -> bool {
+    /// If an answer ended before the store has its turn, the loss of all VMs could lose the turn.
+    /// While the store is unavailable the end of the answer waits, at most until the caller's
+    /// deadline; all other events have been sent already.
+    pub(crate) async fn keep_turn(self: &Rc<Self>, job: &Job, transcript: Transcript) -> bool {
         let Ok(id) = job.meta.turn.parse::<Id>() else {
-            // Nobody can name it.
+            // No caller can refer to the turn.
             return true;
         };
         let began = Instant::now();
-        let kept_for = job.route.program_idle.unwrap_or(KEPT);
-        // Copied, since a part of a buffer would hold the whole buffer.
+        let retention = job.route.program_idle.unwrap_or(DEFAULT_RETENTION);
+        // Copied, since a slice would keep the whole buffer alive.
         let turn = Rc::new(Turn {
             id,
             prev: job.prev.clone(),
-            until_ms: until_ms(kept_for),
+            until_ms: retention_end_ms(retention),
             input: Bytes::copy_from_slice(&job.input),
-            output: Bytes::copy_from_slice(&said.finish()),
+            output: Bytes::copy_from_slice(&transcript.finish()),
         });
-        if turn.size() > TURN_BYTES {
+        if turn.size() > MAX_TURN_BYTES {
             event!(warn, "turn_too_large", id = turn.id, bytes = turn.size());
             return false;
         }
-        let until = job.deadline.checked_sub(LAST).unwrap_or(began);
-        let kept = timeout_at(until, self.record(&turn)).await.ok();
+        let cutoff = job.deadline.checked_sub(WRITE_CUTOFF).unwrap_or(began);
+        let recorded = timeout_at(cutoff, self.record_turn(&turn)).await.ok();
         job.kept.set(began.elapsed());
-        let at = kept.map_or("nowhere", Kept::name);
+        let at = recorded.map_or("nowhere", RecordedVia::label);
         self.metrics.kept(began.elapsed(), at);
-        if kept != Some(Kept::Store) || self.sampler.takes(&job.meta.id) {
+        if recorded != Some(RecordedVia::Store) || self.sampler.takes(&job.meta.id) {
             event!(
                 info,
                 "turn_kept",
@@ -92,80 +92,98 @@
                 took_ms = began.elapsed().as_millis()
             );
         }
-        let all = &self.conversations;
-        if kept != Some(Kept::Store) {
-            let lane = all.lane(all.layout.bucket(&turn.id));
-            lane.outbox.borrow_mut().forget(&turn.id);
+        let conversations = &self.conversations;
+        if recorded != Some(RecordedVia::Store) {
+            let writer = conversations.writer(conversations.layout.bucket(&turn.id));
+            writer.outbox.borrow_mut().forget(&turn.id);
         }
-        if kept.is_none() {
-            // What is under way ends before the answer is cut.
+        if recorded.is_none() {
+            // Let writes in progress finish before the answer is cut.
             sleep_until(job.deadline).await;
             return false;
         }
         let now = Instant::now();
-        all.cache.borrow_mut().insert(now, Rc::clone(&turn));
-        self.tell_holder(&turn.id).await;
-        all.refresh(&turn, kept_for);
+        conversations
+            .cache
+            .borrow_mut()
+            .insert(now, Rc::clone(&turn));
+        self.announce_holder(&turn.id).await;
+        conversations.extend_retention(&turn, retention);
         true
     }
 
-    /// Waits until the store has a turn, by whichever way is open.
-    async fn record(self: &Rc<Self>, turn: &Rc<Turn>) -> Kept {
-        let all = &self.conversations;
-        let bucket = all.layout.bucket(&turn.id);
-        let lane = all.post(bucket, Rc::clone(turn));
-        let patience = if lane.failing.get() || all.is_away() {
-            SHORT
+    /// Waits until the store has a turn: in its own partition, in a fallback partition, or written
+    /// by another VM.
+    async fn record_turn(self: &Rc<Self>, turn: &Rc<Turn>) -> RecordedVia {
+        let conversations = &self.conversations;
+        let bucket = conversations.layout.bucket(&turn.id);
+        let writer = conversations.enqueue(bucket, Rc::clone(turn));
+        let store_timeout = if writer.failing.get() || conversations.is_store_down() {
+            STORE_DOWN_TIMEOUT
         } else {
-            PATIENCE
+            STORE_TIMEOUT
         };
-        if timeout(patience, lane.recorded(&turn.id)).await.is_ok() {
-            return Kept::Store;
+        if timeout(store_timeout, writer.wait_until_recorded(&turn.id))
+            .await
+            .is_ok()
+        {
+            return RecordedVia::Store;
         }
-        all.miss();
-        let elsewhere = async {
+        conversations.note_store_failure();
+        let fallback = async {
             let mut round = 0;
             loop {
-                let detour = timeout(ELSEWHERE, self.detour_turn(bucket, turn));
-                let relay = self.relay_turn(bucket, turn, round);
+                let detour = timeout(
+                    FALLBACK_TIMEOUT,
+                    self.record_in_fallback_partition(bucket, turn),
+                );
+                let relay = self.record_through_peer(bucket, turn, round);
                 let (detour, relay) = tokio::join!(detour, relay);
                 if relay {
-                    return Kept::Relay;
+                    return RecordedVia::OtherVm;
                 }
                 if detour == Ok(true) {
-                    return Kept::Detour;
+                    return RecordedVia::FallbackPartition;
                 }
-                sleep(AGAIN).await;
+                sleep(FALLBACK_RETRY_DELAY).await;
                 round += 1;
             }
         };
         tokio::select! {
-            () = lane.recorded(&turn.id) => Kept::Store,
-            kept = elsewhere => kept,
+            () = writer.wait_until_recorded(&turn.id) => RecordedVia::Store,
+            recorded = fallback => recorded,
         }
     }
 
-    /// Records a turn in another partition while its own does not take it: the store may lose some of
-    /// its partitions and serve the rest.
-    async fn detour_turn(&self, bucket: Bucket, turn: &Turn) -> bool {
+    /// Records a turn in a fallback partition while its own is unavailable: the store may lose some
+    /// of its partitions and serve the rest.
+    async fn record_in_fallback_partition(&self, bucket: Bucket, turn: &Turn) -> bool {
         if !self.has_store() {
             return false;
         }
-        let all = &self.conversations;
-        let record = [super::lane::record(turn)];
-        let store = all.store.borrow().clone();
-        let writes = all.layout.others(bucket).into_iter().map(|part| {
-            let (store, record) = (&store, &record);
-            Box::pin(async move { store.append(DETOURED_TURN_TOPIC, part, record, None).await })
-        });
+        let conversations = &self.conversations;
+        let record = [super::lane::turn_record(turn)];
+        let store = conversations.store.borrow().clone();
+        let writes = conversations
+            .layout
+            .others(bucket)
+            .into_iter()
+            .map(|partition| {
+                let (store, record) = (&store, &record);
+                Box::pin(async move {
+                    store
+                        .append(DETOURED_TURN_TOPIC, partition, record, None)
+                        .await
+                })
+            });
         let writes: Vec<_> = writes.collect();
         !writes.is_empty() && select_ok(writes).await.is_ok()
     }
 
-    /// Tells the VMs that are asked for a turn that this one has it.
-    pub(super) async fn tell_holder(&self, id: &Id) {
+    /// Tells the home VMs of a turn that this VM has it in memory.
+    pub(super) async fn announce_holder(&self, id: &Id) {
         let bucket = self.conversations.layout.bucket(id);
-        for home in self.homes(bucket).into_iter().take(TOLD) {
+        for home in self.home_vms(bucket).into_iter().take(MAX_HOMES_NOTIFIED) {
             if home.vm == self.settings.vm {
                 continue;
             }
@@ -176,25 +194,25 @@
 }
 
 impl Conversations {
-    /// Has the turns before this one kept as long as itself: each is written again once in the time
-    /// for which it is kept, at most.
-    fn refresh(self: &Rc<Self>, turn: &Turn, kept_for: Duration) {
-        let needed = clock::wall_ms() + millis(kept_for + super::SKEW);
-        let mut next = turn.prev.clone();
-        while let Some(before) = next.as_ref().and_then(|id| self.find(id)) {
-            next.clone_from(&before.prev);
-            if before.until_ms >= needed {
+    /// Extends the retention of the turns before this one to match its own. A turn is rewritten at
+    /// most once per retention time.
+    fn extend_retention(self: &Rc<Self>, turn: &Turn, retention: Duration) {
+        let needed = clock::wall_ms() + millis(retention + super::MAX_CLOCK_SKEW);
+        let mut next_id = turn.prev.clone();
+        while let Some(earlier) = next_id.as_ref().and_then(|id| self.find_cached(id)) {
+            next_id.clone_from(&earlier.prev);
+            if earlier.until_ms >= needed {
                 continue;
             }
-            let longer = Rc::new(Turn {
-                until_ms: until_ms(kept_for),
-                ..(*before).clone()
+            let extended = Rc::new(Turn {
+                until_ms: retention_end_ms(retention),
+                ..(*earlier).clone()
             });
-            let bucket = self.layout.bucket(&longer.id);
+            let bucket = self.layout.bucket(&extended.id);
             self.cache
                 .borrow_mut()
-                .insert(Instant::now(), Rc::clone(&longer));
-            self.post(bucket, longer);
+                .insert(Instant::now(), Rc::clone(&extended));
+            self.enqueue(bucket, extended);
         }
     }
 }
--- a/src/gateway/conversation/relay.rs
+++ b/src/gateway/conversation/relay.rs
@@ -1,8 +1,7 @@
-//! Has another VM record a turn that the store does not take from this one.
+//! Records a turn through another VM when this VM cannot reach the store.
 //!
-//! Load it answers: a store that turns some VMs away, or is cut off from them, and serves the others.
-//! Nothing is kept beside the store: after the loss of all VMs a turn that only they held would be
-//! gone, though its answer had ended as whole.
+//! Other VMs only write the turn to the store and keep no copy instead: a copy would not survive
+//! the loss of all VMs, although the answer had ended as complete.
 
 use super::exchange::{Answer, Message};
 use super::{Conversations, Gateway};
@@ -14,26 +13,27 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// VMs that are asked at a time.
-const ASKED: usize = 2;
-/// How long a VM tries to record a turn of another one. Together with the way there and back it stays
-/// under the time that an exchange may take.
-const TRY: Duration = Duration::from_millis(220);
+/// VMs that are asked in one round.
+const VMS_PER_ROUND: usize = 2;
+/// Time limit for recording a turn of another VM; with the round trip it stays below the timeout of
+/// an exchange.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(220);
 
 impl Gateway {
-    /// Whether another VM has recorded the turn. `round` is the number of earlier tries.
-    pub(super) async fn relay_turn(
+    /// Asks other VMs to record a turn; returns whether one did. `round` is the number of earlier
+    /// rounds.
+    pub(super) async fn record_through_peer(
         self: &Rc<Self>,
         bucket: Bucket,
         turn: &Turn,
         round: usize,
     ) -> bool {
-        let mut others: Vec<Peer> = self.homes(bucket);
+        let mut others: Vec<Peer> = self.home_vms(bucket);
         others.retain(|peer| peer.ready && peer.vm != self.settings.vm);
-        // In each round others: those that come first may have lost the store as well.
-        let first = round * ASKED % others.len().max(1);
+        // Ask different VMs in each round: the first ones may have lost the store as well.
+        let first = round * VMS_PER_ROUND % others.len().max(1);
         others.rotate_left(first);
-        others.truncate(ASKED);
+        others.truncate(VMS_PER_ROUND);
         let message = Message::Record(turn.clone());
         let asks = others.iter();
         let mut asks: FuturesUnordered<_> = asks
@@ -49,15 +49,17 @@
 }
 
 impl Conversations {
-    /// Records the turn of another VM; tells whether the store has it.
-    pub(super) async fn record_for(self: &Rc<Self>, turn: Turn) -> bool {
-        if self.is_away() {
+    /// Records a turn of another VM; returns whether the store has it.
+    pub(super) async fn record_for_peer(self: &Rc<Self>, turn: Turn) -> bool {
+        if self.is_store_down() {
             return false;
         }
         let turn = Rc::new(turn);
-        let lane = self.post(self.layout.bucket(&turn.id), Rc::clone(&turn));
-        // It stays to be written where the time is over: whoever takes it out could make another try of
-        // the same turn, which came meanwhile, look recorded.
-        timeout(TRY, lane.recorded(&turn.id)).await.is_ok()
+        let writer = self.enqueue(self.layout.bucket(&turn.id), Rc::clone(&turn));
+        // On timeout the turn stays queued. Removing it could make a repeated request for the same
+        // turn look recorded.
+        timeout(RECORD_TIMEOUT, writer.wait_until_recorded(&turn.id))
+            .await
+            .is_ok()
     }
 }
--- a/src/gateway/conversation/sweep.rs
+++ b/src/gateway/conversation/sweep.rs
@@ -1,6 +1,6 @@
-//! Drops turns that nobody can come back to, from memory and from the store.
+//! Drops expired turns from memory and from the store.
 
-use super::{Conversations, Gateway, SKEW, millis};
+use super::{Conversations, Gateway, MAX_CLOCK_SKEW, millis};
 use crate::clock;
 use crate::conversation::{Bucket, Turn};
 use crate::platform::records::{DETOURED_TURN_TOPIC, turn_topic};
@@ -10,52 +10,55 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Time between two looks at what is in memory.
-const TICK: Duration = Duration::from_millis(500);
-/// Time between two looks at one bucket of the store. A look reads all that it holds; it holds records
-/// of two minutes, so that each record is read about three times.
-const SWEEP: Duration = Duration::from_mins(1);
+/// Time between two sweeps of the memory.
+const MEMORY_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two sweeps of the store. A sweep reads all records of the buckets.
+const STORE_SWEEP_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Keeps house until the process ends.
+/// Drops expired turns until the process ends.
 pub(in crate::gateway) async fn run(gateway: Rc<Gateway>) {
-    let all = Rc::clone(&gateway.conversations);
-    let mut swept = Instant::now();
+    let conversations = Rc::clone(&gateway.conversations);
+    let mut last_store_sweep = Instant::now();
     loop {
-        sleep(TICK).await;
+        sleep(MEMORY_SWEEP_INTERVAL).await;
         let now = Instant::now();
-        all.cache.borrow_mut().expire(now);
-        all.pointers.borrow_mut().expire(now);
-        if swept.elapsed() >= SWEEP && gateway.has_store() {
-            swept = now;
+        conversations.cache.borrow_mut().expire(now);
+        conversations.pointers.borrow_mut().expire(now);
+        if last_store_sweep.elapsed() >= STORE_SWEEP_INTERVAL && gateway.has_store() {
+            last_store_sweep = now;
             gateway.sweep_store().await;
         }
     }
 }
 
 impl Gateway {
-    /// Drops what is over from the buckets for which this VM comes first.
+    /// Drops expired turns from the buckets of which this VM is the first home VM.
     async fn sweep_store(&self) {
-        let all = &self.conversations;
-        for number in 0..all.layout.count() {
+        let conversations = &self.conversations;
+        for number in 0..conversations.layout.count() {
             let bucket = Bucket(number);
-            let homes = self.homes(bucket);
+            let homes = self.home_vms(bucket);
             if homes
                 .first()
                 .is_some_and(|home| home.vm == self.settings.vm)
             {
-                let topic = turn_topic(all.layout.topic(bucket));
-                all.sweep(&topic, all.layout.partition(bucket)).await;
+                let topic = turn_topic(conversations.layout.topic(bucket));
+                conversations
+                    .sweep_partition(&topic, conversations.layout.partition(bucket))
+                    .await;
             }
         }
-        if self.is_first_of("turns/detours") {
-            for part in 0..all.layout.partitions {
-                all.sweep(DETOURED_TURN_TOPIC, part).await;
+        if self.is_first_for("turns/detours") {
+            for partition in 0..conversations.layout.partitions {
+                conversations
+                    .sweep_partition(DETOURED_TURN_TOPIC, partition)
+                    .await;
             }
         }
     }
 
-    fn is_first_of(&self, key: &str) -> bool {
-        let ranked = self.ranked(key);
+    fn is_first_for(&self, key: &str) -> bool {
+        let ranked = self.ranked_members(key);
         ranked
             .first()
             .is_some_and(|first| first.vm == self.settings.vm)
@@ -63,39 +66,43 @@
 }
 
 impl Conversations {
-    async fn sweep(&self, topic: &str, part: u64) {
+    async fn sweep_partition(&self, topic: &str, partition: u64) {
         let store = self.store.borrow().clone();
-        let Ok(newest) = store.newest(topic, part).await else {
-            // The next sweep finds it.
+        let Ok(newest) = store.newest(topic, partition).await else {
+            // The next sweep tries again.
             return;
         };
-        let over: Vec<Keyed> = newest.records.iter().filter_map(is_over).collect();
-        if over.is_empty() {
+        let deletions: Vec<Keyed> = newest
+            .records
+            .iter()
+            .filter_map(deletion_if_expired)
+            .collect();
+        if deletions.is_empty() {
             return;
         }
-        let dropped = store.append(topic, part, &over, None).await;
-        let fault = dropped
+        let result = store.append(topic, partition, &deletions, None).await;
+        let fault = result
             .err()
             .map_or_else(String::new, |fault| fault.to_string());
-        let kept = newest.records.len() - over.len();
+        let retained = newest.records.len() - deletions.len();
         event!(
             info,
             "turns_dropped",
             topic = topic,
-            part = part,
-            turns = over.len(),
-            kept = kept,
+            part = partition,
+            turns = deletions.len(),
+            kept = retained,
             fault = fault
         );
     }
 }
 
-/// What drops a record, where nobody can come back to it. One that is no turn is nobody's.
-fn is_over(record: &Keyed) -> Option<Keyed> {
+/// The record that deletes `record`, if its turn has expired or can't be decoded.
+fn deletion_if_expired(record: &Keyed) -> Option<Keyed> {
     let turn = record.value.as_deref().and_then(Turn::decode);
     let now_ms = clock::wall_ms();
-    let kept = turn.is_some_and(|turn| turn.until_ms + millis(SKEW) > now_ms);
-    (!kept).then(|| Keyed {
+    let retained = turn.is_some_and(|turn| turn.until_ms + millis(MAX_CLOCK_SKEW) > now_ms);
+    (!retained).then(|| Keyed {
         key: record.key.clone(),
         value: None,
     })
--- a/src/gateway/tokens/copies.rs
+++ b/src/gateway/tokens/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of allowances at other VMs, for a time in which the store takes no records.
+//! Copies of allowances at other VMs, for times when the store accepts no records.
 
 use crate::gateway::Gateway;
 use crate::gateway::peers::{Copy, Note, Question, Reply};
@@ -7,30 +7,29 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long the VMs that may keep copies are waited for.
-const GATHER: Duration = Duration::from_millis(70);
-/// How many other VMs keep what the store has not taken. Where more than half of all VMs are lost at
-/// once, two copies are lost with the VM that counts in one of six cases, four in one of twenty.
-const COPIES: usize = 4;
+/// Time allowed for VMs to return their copies.
+const COLLECT_TIMEOUT: Duration = Duration::from_millis(70);
+/// Number of VMs that keep a copy of an unrecorded allowance.
+const COPY_COUNT: usize = 4;
 
 impl Gateway {
-    /// Asks the VMs that may keep copies for allowances that the store may lack. Gives for how long
-    /// the oldest of them has run, in milliseconds.
-    pub(crate) async fn gather(&self, part: u64) -> u64 {
+    /// Merges the copies that other VMs keep of allowances missing at the store. Returns the
+    /// highest uptime of these VMs and this one, in milliseconds.
+    pub(crate) async fn collect_copies(&self, part: u64) -> u64 {
         let others = self.counters(part).into_iter();
         let others = others.filter(|peer| peer.vm != self.settings.vm);
-        let asks = others.take(COPIES + 1).map(|peer| async move {
+        let asks = others.take(COPY_COUNT + 1).map(|peer| async move {
             let question = Question::Copies { part };
-            timeout(GATHER, self.peers.ask(peer.address, &question)).await
+            timeout(COLLECT_TIMEOUT, self.peers.ask(peer.address, &question)).await
         });
-        let mut oldest_ms = self.keeper.up_ms();
+        let mut oldest_uptime_ms = self.keeper.uptime_ms();
         for reply in futures::future::join_all(asks).await {
             let Ok(Some(Reply::Copies { allowed, up_ms })) = reply else {
                 continue;
             };
-            oldest_ms = up_ms.max(oldest_ms);
+            oldest_uptime_ms = up_ms.max(oldest_uptime_ms);
             for (program, allowed) in allowed {
-                self.keeper.keep(Copy {
+                self.keeper.merge_copy(Copy {
                     part,
                     program,
                     allowed,
@@ -39,12 +38,12 @@
                 });
             }
         }
-        oldest_ms
+        oldest_uptime_ms
     }
 
-    /// Tells all VMs of allowances that this one gave and could not record.
+    /// Sends all VMs the allowances that this one granted and could not record.
     pub(crate) async fn tell_orphans(&self) {
-        let orphans = self.keeper.orphans.take();
+        let orphans = self.keeper.orphaned_copies.take();
         if orphans.is_empty() {
             return;
         }
@@ -64,27 +63,29 @@
         }
     }
 
-    /// Tells the VM that would take over of a durable allowance, for a time without the store.
-    pub(crate) async fn tell_next(&self, copy: Copy) {
-        let next = self.next_counter(copy.part);
+    /// Sends a durable allowance to the VM that would take over, in case the store becomes
+    /// unavailable.
+    pub(crate) async fn send_copy_to_successor(&self, copy: Copy) {
+        let next = self.next_candidate(copy.part);
         if let Some(next) = next {
             self.peers.tell(next.address, Note::Copied(copy)).await;
         }
     }
 
-    /// Has the VMs that would take over keep an allowance.
-    pub(crate) async fn copy(&self, copy: Copy, part: &Part) -> bool {
+    /// Copies an unrecorded allowance to the VMs that would take over. Returns whether any of them
+    /// keeps it; gives up ownership if one answers `NotOwner`.
+    pub(crate) async fn replicate_allowance(&self, copy: Copy, part: &Part) -> bool {
         let question = Question::Keep(copy.clone());
         let others = self.counters(copy.part).into_iter();
         let others = others.filter(|peer| peer.vm != self.settings.vm);
-        let asks = others.take(COPIES).map(|peer| {
+        let asks = others.take(COPY_COUNT).map(|peer| {
             let question = &question;
             async move { self.peers.ask(peer.address, question).await }
         });
-        // All of them are waited for: one that reaches the store may be the last to answer.
+        // Wait for all replies: the one that answers `NotOwner` may come last.
         let replies = futures::future::join_all(asks).await;
         if replies.contains(&Some(Reply::NotOwner)) {
-            self.keeper.shut_out(copy.part, part, copy.epoch);
+            self.keeper.lose_ownership(copy.part, part, copy.epoch);
             return false;
         }
         let copies = replies.iter().flatten().count();
--- a/src/gateway/tokens/counter.rs
+++ b/src/gateway/tokens/counter.rs
@@ -1,7 +1,7 @@
-//! Counts the tokens of programs for the VMs that ask, and passes partitions on.
+//! Handles messages of other VMs, and reserves tokens in partitions that this VM owns.
 
 use crate::gateway::peers::{Asked, Copy, Note, Peer, Question, Reply};
-use crate::gateway::tokens::keeper::PATIENCE;
+use crate::gateway::tokens::keeper::STORE_TIMEOUT;
 use crate::gateway::tokens::part::Part;
 use crate::gateway::{Gateway, peers};
 use crate::id::{Shard, rendezvous};
@@ -12,14 +12,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// How long a turn waits for a partition to be taken over, two calls to the store.
-pub(crate) const TAKE: Duration = Duration::from_secs(1);
-/// Copies in one datagram.
-const COPIES_SENT: usize = 40;
+/// How long a turn waits for a takeover, which takes two calls to the store.
+pub(crate) const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(1);
+const COPIES_PER_DATAGRAM: usize = 40;
 
-/// A reservation as the VM that counts the program sees it.
+/// A request to reserve tokens, as received by the owner of the partition.
 #[derive(Debug)]
-struct Request<'a> {
+struct ReserveRequest<'a> {
     part: u64,
     program: &'a str,
     reservation: Reservation,
@@ -28,7 +27,7 @@
 }
 
 impl Gateway {
-    /// The VM that says that it counts a partition.
+    /// The member that announces ownership of a partition.
     pub(crate) fn claimed(&self, part: u64) -> Option<Peer> {
         let view = self.view.borrow();
         let owner = view.owner(Shard(part))?;
@@ -39,13 +38,14 @@
         })
     }
 
-    /// The VMs that may count a partition, the one that should first, silent ones last.
+    /// All VMs in the order in which they should own a partition; VMs that are not ready or do not
+    /// answer come last.
     pub(crate) fn counters(&self, part: u64) -> Vec<Peer> {
-        self.ranked(&format!("allowance/{part}"))
+        self.ranked_members(&format!("allowance/{part}"))
     }
 
-    /// All VMs in their order for a duty, silent ones last.
-    pub(crate) fn ranked(&self, key: &str) -> Vec<Peer> {
+    /// All VMs in rendezvous order for a key; VMs that are not ready or do not answer come last.
+    pub(crate) fn ranked_members(&self, key: &str) -> Vec<Peer> {
         let view = self.view.borrow();
         let mut members: Vec<_> = view
             .members
@@ -56,7 +56,7 @@
                 (member.ready && !silent, rank, member)
             })
             .collect();
-        members.sort_by_key(|(good, rank, _)| std::cmp::Reverse((*good, *rank)));
+        members.sort_by_key(|(available, rank, _)| std::cmp::Reverse((*available, *rank)));
         let peers = members.into_iter().map(|(_, _, member)| Peer {
             vm: member.vm.clone(),
             address: peers::address(member.address),
@@ -65,13 +65,12 @@
         peers.collect()
     }
 
-    /// The VM that takes a partition over where this one can't go on.
-    pub(crate) fn next_counter(&self, part: u64) -> Option<Peer> {
+    /// The VM that should own a partition if this one can't.
+    pub(crate) fn next_candidate(&self, part: u64) -> Option<Peer> {
         let mut others = self.counters(part).into_iter();
         others.find(|peer| peer.vm != self.settings.vm)
     }
 
-    /// Answers a question of another VM.
     pub(crate) async fn answer(self: &Rc<Self>, asked: Asked, question: Question) -> Reply {
         match question {
             Question::Place(ask) => self.lease_to(asked, ask).await,
@@ -89,7 +88,7 @@
                 reservation,
                 takeover,
             } => {
-                let request = Request {
+                let request = ReserveRequest {
                     part,
                     program: &program,
                     reservation: Reservation {
@@ -99,27 +98,27 @@
                     turn: Turn { budget, most, seen },
                     takeover,
                 };
-                self.count(request).await
+                self.reserve_as_owner(request).await
             }
             Question::Keep(copy) => {
                 let part = self.keeper.part(copy.part);
-                // The VM that asks stood still while this one took over, or it goes on from copies
-                // while this one reaches the store: another one may count there already, and a
-                // program would get its tokens from both.
+                // The asking VM may have been suspended while this one took over, or it counts from
+                // copies while this one reaches the store. Either way another VM may own the
+                // partition, and both would grant the same tokens.
                 let newer = part.hold.get().is_some_and(|hold| hold.epoch > copy.epoch);
                 if newer || (!copy.fenced && self.has_store()) {
-                    self.keeper.keep(copy);
+                    self.keeper.merge_copy(copy);
                     return Reply::NotOwner;
                 }
-                part.lacking
+                part.unrecorded_copies
                     .borrow_mut()
                     .insert(copy.program.clone(), copy.allowed);
-                self.keeper.keep(copy);
+                self.keeper.merge_copy(copy);
                 Reply::Kept
             }
             Question::Counts { part } => {
                 let part = self.keeper.part(part);
-                Reply::Counting(part.is_claimed())
+                Reply::Counting(part.is_owned_or_in_transfer())
             }
             Question::Heard => Reply::Heard {
                 ago_ms: self.store_heard_ms(),
@@ -127,12 +126,12 @@
             Question::Locate { turn, lost } => self.locate(&turn, lost).await,
             Question::Copies { part } => {
                 let part = self.keeper.part(part);
-                let lacking = part.lacking.borrow();
-                let newest = lacking.iter().take(COPIES_SENT);
-                let newest = newest.map(|(program, allowed)| (program.clone(), *allowed));
+                let unrecorded_copies = part.unrecorded_copies.borrow();
+                let allowances = unrecorded_copies.iter().take(COPIES_PER_DATAGRAM);
+                let allowances = allowances.map(|(program, allowed)| (program.clone(), *allowed));
                 Reply::Copies {
-                    allowed: newest.collect(),
-                    up_ms: self.keeper.up_ms(),
+                    allowed: allowances.collect(),
+                    up_ms: self.keeper.uptime_ms(),
                 }
             }
             Question::Adopt {
@@ -147,13 +146,13 @@
                 if doubtful {
                     self.keeper.part(part).ledger.borrow_mut().doubt();
                 }
-                self.adopt(part, epoch, entries, (first, last), ending)
+                self.receive_handover(part, epoch, entries, (first, last), ending)
                     .await
             }
         }
     }
 
-    /// Takes in what another VM tells.
+    /// Handles a message that needs no answer.
     pub(crate) async fn noted(&self, from: SocketAddr, note: Note) {
         match note {
             Note::Left { number, outcome } => self.leases.end(&(from, number), outcome),
@@ -169,24 +168,24 @@
                     self.keeper.settle(part, reservation, used);
                 }
             }
-            Note::Copied(copy) => self.keeper.keep(copy),
-            Note::Holds { turn } => self.conversations.told(turn, from),
+            Note::Copied(copy) => self.keeper.merge_copy(copy),
+            Note::Holds { turn } => self.conversations.set_holder(turn, from),
         }
     }
 
-    async fn count(self: &Rc<Self>, request: Request<'_>) -> Reply {
-        let Request {
-            part: number,
+    async fn reserve_as_owner(self: &Rc<Self>, request: ReserveRequest<'_>) -> Reply {
+        let ReserveRequest {
+            part: partition_id,
             program,
             reservation,
             turn,
             takeover,
         } = request;
-        let part = self.keeper.part(number);
-        // Whoever is told "not here" while a partition is on its way finds nobody who counts it.
+        let part = self.keeper.part(partition_id);
+        // Answering `NotOwner` during a handover would leave the caller without any owner.
         part.settled().await;
         if part.hold.get().is_none() {
-            let refusal = self.begin_to_count(number, &part, takeover).await;
+            let refusal = self.begin_to_count(partition_id, &part, takeover).await;
             if let Some(refusal) = refusal {
                 return refusal;
             }
@@ -201,7 +200,7 @@
                 info,
                 "turn_counted",
                 program = program,
-                part = number,
+                part = partition_id,
                 epoch = part.hold.get().map_or(0, |hold| hold.epoch),
                 budget = turn.budget,
                 total = total,
@@ -212,18 +211,20 @@
             );
         }
         let epoch = part.hold.get().map(|hold| hold.epoch);
-        let covered = match verdict {
+        let durable = match verdict {
             Verdict::Spent => return Reply::Spent,
             Verdict::Covered => true,
-            Verdict::Record(allowed) => self.cover(number, &part, program, turn, allowed).await,
+            Verdict::Record(allowed) => {
+                self.make_durable(partition_id, &part, program, turn, allowed)
+                    .await
+            }
         };
-        // Another VM may have taken the partition while this one found another way to record, and
-        // counts the same program there.
-        let held = part.hold.get().map(|hold| hold.epoch) == epoch;
-        // Where it was asked twice, the other one may have failed and given the tokens back.
-        if !covered || !held || !part.ledger.borrow().is_open(reservation) {
-            self.keeper.settle(number, reservation, 0);
-            return if held {
+        // Another VM may have taken the partition over while the allowance was being made durable.
+        let still_owner = part.hold.get().map(|hold| hold.epoch) == epoch;
+        // A repeated request for the same reservation may have failed and released it.
+        if !durable || !still_owner || !part.ledger.borrow().is_open(reservation) {
+            self.keeper.settle(partition_id, reservation, 0);
+            return if still_owner {
                 Reply::Unrecorded
             } else {
                 Reply::NotOwner
@@ -232,49 +233,57 @@
         Reply::Granted { turns, total }
     }
 
-    /// Waits until an allowance is durable, or kept by other VMs where the store does not take it.
-    async fn cover(
+    /// Makes an allowance durable: recorded in its partition, else in a fallback partition, else
+    /// copied to other VMs. Returns false if none of these succeeded.
+    async fn make_durable(
         self: &Rc<Self>,
-        number: u64,
+        partition_id: u64,
         part: &Rc<Part>,
         program: &str,
         turn: Turn,
         allowed: u64,
     ) -> bool {
         let hold = part.hold.get();
-        part.lack(program, allowed);
-        Rc::clone(&self.keeper).start_writing(number, Rc::clone(part));
+        part.add_pending(program, allowed);
+        Rc::clone(&self.keeper).start_writer(partition_id, Rc::clone(part));
         let durable = async {
             loop {
-                let written = part.written.notified();
+                let record_written = part.record_written.notified();
                 if part.ledger.borrow().allowed(program) >= allowed {
                     return true;
                 }
-                // Shut out by another VM meanwhile, nothing will be recorded.
+                // Ownership was lost, so the allowance will not be recorded.
                 if part.hold.get().map(|hold| hold.epoch) != hold.map(|hold| hold.epoch) {
                     return false;
                 }
-                written.await;
+                record_written.await;
             }
         };
-        let patience = if part.failing.get().is_some() || self.keeper.is_away() {
+        let store_timeout = if part.failing.get().is_some() || self.keeper.skips_store() {
             Duration::ZERO
         } else {
-            PATIENCE
+            STORE_TIMEOUT
         };
         let copy = Copy {
-            part: number,
+            part: partition_id,
             program: program.to_owned(),
             allowed,
             epoch: hold.map_or(0, |hold| hold.epoch),
             fenced: hold.is_some_and(|hold| hold.fenced),
         };
-        match timeout(patience, durable).await {
+        match timeout(store_timeout, durable).await {
             Ok(recorded) => {
-                self.tell_next(copy).await;
+                self.send_copy_to_successor(copy).await;
                 recorded
             }
-            Err(_) if self.keeper.detour(number, part, &copy).await => true,
+            Err(_)
+                if self
+                    .keeper
+                    .record_in_fallback_partition(partition_id, part, &copy)
+                    .await =>
+            {
+                true
+            }
             Err(_)
                 if !part.ledger.borrow().bears(program, turn)
                     || !self.reaches_most().await
@@ -284,12 +293,12 @@
                     info,
                     "allowance_unrecorded",
                     program = program,
-                    part = number,
+                    part = partition_id,
                     budget = turn.budget
                 );
                 false
             }
-            Err(_) => self.copy(copy, part).await,
+            Err(_) => self.replicate_allowance(copy, part).await,
         }
     }
 }
--- a/src/gateway/tokens/detour.rs
+++ b/src/gateway/tokens/detour.rs
@@ -1,7 +1,7 @@
-//! Allowances whose partition of the store does not take them go through other partitions.
+//! Records allowances in fallback partitions while their own partition of the store rejects writes.
 
 use crate::gateway::peers::Copy;
-use crate::gateway::tokens::keeper::{Keeper, PATIENCE, encode};
+use crate::gateway::tokens::keeper::{Keeper, STORE_TIMEOUT, encode_record};
 use crate::gateway::tokens::part::Part;
 use crate::platform::records::DETOUR_TOPIC;
 use crate::platform::store::Keyed;
@@ -10,66 +10,78 @@
 use tokio::time::timeout;
 
 impl Keeper {
-    /// Records an allowance in another partition while its own does not take it.
+    /// Records an allowance in a fallback partition while its own partition is unavailable.
     ///
-    /// The store may lose some of its partitions and serve the rest. If all VMs lost power then,
-    /// copies in memory would be gone, and a program would get its budget a second time.
-    pub(crate) async fn detour(&self, number: u64, part: &Part, copy: &Copy) -> bool {
-        if self.is_away() {
+    /// The store may lose some of its partitions and serve the rest. Copies in memory would not
+    /// survive a power loss of all VMs, and the program would get its budget a second time.
+    pub(crate) async fn record_in_fallback_partition(
+        &self,
+        partition_id: u64,
+        part: &Part,
+        copy: &Copy,
+    ) -> bool {
+        if self.skips_store() {
             return false;
         }
-        let record = [encode(&copy.program, copy.allowed)];
-        // All at once: one after the other, a turn waited 250 ms for each of three that were silent.
-        let writes = self.other_parts(number).map(|other| {
+        let record = [encode_record(&copy.program, copy.allowed)];
+        // Written to all at once, so that a turn does not wait for one timeout after another.
+        let writes = self.fallback_partitions(partition_id).map(|other| {
             let write = self.store.append(DETOUR_TOPIC, other, &record, None);
             Box::pin(async move { write.await.map(|()| other) })
         });
-        let written = timeout(PATIENCE, select_ok(writes)).await;
+        let written = timeout(STORE_TIMEOUT, select_ok(writes)).await;
         let Ok(Ok((other, _))) = written else {
-            self.heard(false);
+            self.note_store_result(false);
             return false;
         };
-        self.heard(true);
-        // Those that were not waited for may be written as well.
-        let detours = self
-            .other_parts(number)
+        self.note_store_result(true);
+        // The other writes may take effect as well.
+        let possible = self
+            .fallback_partitions(partition_id)
             .map(|other| (other, copy.program.clone()));
-        part.detours.borrow_mut().extend(detours);
+        part.fallback_records.borrow_mut().extend(possible);
         event!(
             info,
             "allowance_detoured",
             program = copy.program,
-            part = number,
+            part = partition_id,
             through = other,
             allowed = copy.allowed
         );
         true
     }
 
-    /// Drops the detours of programs that can't come back.
+    /// Drops the fallback records of programs that have expired.
     ///
-    /// Not when their own partition has taken the allowance: that drop may take effect seconds later,
-    /// and would take a newer allowance along, which the partition does not have yet.
-    pub(crate) async fn end_detours(&self, number: u64, part: &Part, over: &[Keyed]) {
-        for other in self.other_parts(number) {
+    /// They are not dropped as soon as the partition itself has taken the allowance: the delete may
+    /// take effect seconds later, and could remove a newer fallback record.
+    pub(crate) async fn drop_fallback_records(
+        &self,
+        partition_id: u64,
+        part: &Part,
+        expired: &[Keyed],
+    ) {
+        for other in self.fallback_partitions(partition_id) {
             let records: Vec<Keyed> = {
-                let mut detours = part.detours.borrow_mut();
-                let through = |record: &&Keyed| detours.remove(&(other, record.key.clone()));
-                over.iter().filter(through).cloned().collect()
+                let mut fallback_records = part.fallback_records.borrow_mut();
+                let remove_tracked =
+                    |record: &&Keyed| fallback_records.remove(&(other, record.key.clone()));
+                expired.iter().filter(remove_tracked).cloned().collect()
             };
             if records.is_empty() {
                 continue;
             }
             if let Err(fault) = self.store.append(DETOUR_TOPIC, other, &records, None).await {
-                // A detour that stays says no more than the partition's own record.
-                event!(debug, "detours_left", part = number, reason = fault);
+                // A fallback record that stays is harmless: the partition's own record is at least
+                // as high.
+                event!(debug, "detours_left", part = partition_id, reason = fault);
             }
         }
     }
 
-    /// The partitions through which detours go. With a quarter of all away, one of three is there
-    /// in 98 of 100 cases.
-    pub(crate) fn other_parts(&self, number: u64) -> [u64; 3] {
-        [self.count / 2, self.count / 3, 1].map(|offset| (number + offset) % self.count)
+    /// The fallback partitions of a partition.
+    pub(crate) fn fallback_partitions(&self, partition_id: u64) -> [u64; 3] {
+        [self.partition_count / 2, self.partition_count / 3, 1]
+            .map(|offset| (partition_id + offset) % self.partition_count)
     }
 }
--- a/src/gateway/tokens/failover.rs
+++ b/src/gateway/tokens/failover.rs
@@ -1,9 +1,9 @@
-//! Whether this VM takes over a partition that no live VM counts.
+//! Decides whether this VM takes over a partition that has no live owner.
 
 use crate::gateway::Gateway;
 use crate::gateway::peers::{Question, Reply};
-use crate::gateway::tokens::counter::TAKE;
-use crate::gateway::tokens::keeper::PATIENCE;
+use crate::gateway::tokens::counter::TAKEOVER_TIMEOUT;
+use crate::gateway::tokens::keeper::STORE_TIMEOUT;
 use crate::gateway::tokens::part::Part;
 use crate::id::{Offset, Shard, rendezvous};
 use crate::platform::store::Fault;
@@ -13,149 +13,165 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// How long a VM that was shut out does not take the same partition again. Until the members have
-/// heard of the new counter, requests that are sent here would make the two shut each other out
-/// again and again, and every time what was handed out counts as spent.
-const SHUT_OUT: Duration = Duration::from_millis(600);
-/// How often a partition is looked at anew to which somebody wrote while it was being taken. One that lives writes
-/// once a second where no turn comes.
-const TRIES: usize = 3;
-/// How long ago a VM must have heard the store to have it: the directory is read once a second at least.
+/// How long a VM that lost a partition does not take it back. Until the members have heard of the
+/// new owner, requests that still arrive here would make the two VMs take the partition from each
+/// other repeatedly, and each takeover counts all allowances as spent.
+const RETAKE_DELAY: Duration = Duration::from_millis(600);
+/// Attempts to take over a partition that is written to meanwhile.
+const MAX_ATTEMPTS: usize = 3;
+/// How recently the store must have answered a VM for it to count as reaching the store.
 pub(crate) const LATELY: Duration = Duration::from_millis(1200);
 
-/// What became of a try to take a partition at the store.
-enum Taking {
-    /// This VM counts it.
+/// Result of an attempt to take a partition over at the store.
+enum TakeoverResult {
     Done,
-    /// The VM at this address does.
-    CountedBy(SocketAddr),
-    /// The store did not answer in time, or refused.
+    /// Another VM owns it.
+    OwnedBy(SocketAddr),
+    /// The store did not answer in time, or rejected the write.
     Failed,
 }
 
 impl Gateway {
-    /// Takes a partition over; gives what is answered where that can't be.
+    /// Takes a partition over. Returns none on success, else the reply to send.
     ///
-    /// Whoever wrote its name to the partition last counts it, until it is silent or says that it does not.
-    /// Views of hundreds of VMs differ for seconds after many have started or lost power; by the views alone
-    /// VMs shut each other out up to ten times for a partition.
+    /// The VM named by the newest owner record keeps the partition until it stops answering or says
+    /// that it is not the owner. Membership views alone are not enough: after many VMs start or
+    /// lose power they differ for seconds.
     pub(crate) async fn begin_to_count(
         self: &Rc<Self>,
-        number: u64,
+        partition_id: u64,
         part: &Rc<Part>,
         takeover: bool,
     ) -> Option<Reply> {
-        let shut_out = part
-            .shut_out
+        let lost_recently = part
+            .ownership_ended
             .get()
-            .is_some_and(|at| at.elapsed() < SHUT_OUT);
-        if shut_out {
+            .is_some_and(|at| at.elapsed() < RETAKE_DELAY);
+        if lost_recently {
             return Some(part.successor.get().map_or(Reply::NotOwner, Reply::Taken));
         }
-        let rightful = self.claimed(number);
-        let rightful = rightful.or_else(|| self.counters(number).into_iter().next());
-        if !takeover && rightful.is_some_and(|other| other.vm != self.settings.vm) {
+        let expected_owner = self.claimed(partition_id);
+        let expected_owner =
+            expected_owner.or_else(|| self.counters(partition_id).into_iter().next());
+        if !takeover && expected_owner.is_some_and(|other| other.vm != self.settings.vm) {
             return Some(Reply::NotOwner);
         }
-        if self.keeper.is_away() {
-            // What follows would wait for the store.
-            return self.count_from_copies(number, part).await;
+        if self.keeper.skips_store() {
+            // The rest would wait for the store.
+            return self.take_over_without_store(partition_id, part).await;
         }
-        match self.take_at_store(number, part).await {
-            Taking::Done => None,
-            Taking::CountedBy(other) => Some(Reply::Taken(other)),
-            Taking::Failed => {
-                self.keeper.heard(false);
-                self.count_from_copies(number, part).await
+        match self.take_over_at_store(partition_id, part).await {
+            TakeoverResult::Done => None,
+            TakeoverResult::OwnedBy(other) => Some(Reply::Taken(other)),
+            TakeoverResult::Failed => {
+                self.keeper.note_store_result(false);
+                self.take_over_without_store(partition_id, part).await
             }
         }
     }
 
-    /// Takes a partition at the store, unless another VM counts it there.
-    async fn take_at_store(self: &Rc<Self>, number: u64, part: &Rc<Part>) -> Taking {
-        let patience = if self.has_store() { TAKE } else { PATIENCE };
-        for _ in 0..TRIES {
-            let Ok(Ok(owner)) = timeout(patience, self.keeper.owner(number)).await else {
-                // Nobody takes a partition that the store does not show.
-                return Taking::Failed;
+    /// Takes a partition over at the store, unless the VM in its owner record still owns it.
+    async fn take_over_at_store(
+        self: &Rc<Self>,
+        partition_id: u64,
+        part: &Rc<Part>,
+    ) -> TakeoverResult {
+        let store_timeout = if self.has_store() {
+            TAKEOVER_TIMEOUT
+        } else {
+            STORE_TIMEOUT
+        };
+        for _ in 0..MAX_ATTEMPTS {
+            let Ok(Ok(owner)) = timeout(store_timeout, self.keeper.read_owner(partition_id)).await
+            else {
+                // Without the owner record a takeover is not safe.
+                return TakeoverResult::Failed;
             };
             let origin = match owner.address() {
-                None if owner.is_none() => Origin::First,
+                None if owner.is_absent() => Origin::First,
                 Some(other) if part.hold.get().is_none() => {
-                    match self.counts_elsewhere(number, other).await {
-                        Some(true) => return Taking::CountedBy(other),
+                    match self.still_owns(partition_id, other).await {
+                        Some(true) => return TakeoverResult::OwnedBy(other),
                         Some(false) => Origin::GivenUp,
                         None => Origin::Silent(Instant::now()),
                     }
                 }
-                // A record that can't be read, or what this VM counts from copies already.
+                // The record can't be parsed, or this VM already counts from copies.
                 _ => Origin::GivenUp,
             };
-            // It goes on where this request gives up, so that the next one finds it done.
-            let taking = Rc::clone(self).take(number, Rc::clone(part), owner.end, origin);
-            let taking = tokio::task::spawn_local(taking);
-            match timeout(patience, taking).await {
-                Ok(Ok(Ok(()))) => return Taking::Done,
-                // Another VM was faster, and says so when it is asked.
+            // Runs as its own task: if this request times out, the takeover still completes for the
+            // next one.
+            let takeover =
+                Rc::clone(self).complete_takeover(partition_id, Rc::clone(part), owner.end, origin);
+            let takeover = tokio::task::spawn_local(takeover);
+            match timeout(store_timeout, takeover).await {
+                Ok(Ok(Ok(()))) => return TakeoverResult::Done,
+                // Another VM was faster; the next attempt asks it.
                 Ok(Ok(Err(Fault::Moved))) => {}
-                _ => return Taking::Failed,
+                _ => return TakeoverResult::Failed,
             }
         }
-        Taking::Failed
+        TakeoverResult::Failed
     }
 
-    /// Takes a partition that ended at `end` when nobody counted it.
-    async fn take(
+    /// Takes over a partition that had no owner when it ended at `end`.
+    async fn complete_takeover(
         self: Rc<Self>,
-        number: u64,
+        partition_id: u64,
         part: Rc<Part>,
         end: Offset,
         origin: Origin,
     ) -> Result<(), Fault> {
-        let oldest_ms = self.gather(number).await;
-        part.oldest_ms.set(oldest_ms);
-        let done = self.keeper.take(number, &part, Some(end), origin).await;
-        Rc::clone(&self.keeper).start_writing(number, part);
-        done
+        let oldest_uptime_ms = self.collect_copies(partition_id).await;
+        part.oldest_uptime_ms.set(oldest_uptime_ms);
+        let result = self
+            .keeper
+            .take_over(partition_id, &part, Some(end), origin)
+            .await;
+        Rc::clone(&self.keeper).start_writer(partition_id, part);
+        result
     }
 
-    /// Whether the VM that took a partition last counts it still; none where it does not answer.
-    async fn counts_elsewhere(&self, number: u64, owner: SocketAddr) -> Option<bool> {
+    /// Whether `owner` still owns the partition; none if it does not answer.
+    async fn still_owns(&self, partition_id: u64, owner: SocketAddr) -> Option<bool> {
         if owner == self.address() {
             return Some(false);
         }
         if self.peers.is_silent(owner) {
             return None;
         }
-        let question = Question::Counts { part: number };
+        let question = Question::Counts { part: partition_id };
         let reply = self.peers.ask(owner, &question).await;
         reply.map(|reply| reply == Reply::Counting(true))
     }
 
-    /// Counts a partition from what other VMs keep, where this one comes next for it; gives what is
-    /// answered where it does not.
+    /// Takes a partition over from the copies at other VMs, if this VM is first in line for it.
+    /// Returns none on success, else the reply to send.
     ///
-    /// Not where another VM has the store: that one takes the partition there, and both would count the same programs.
-    async fn count_from_copies(&self, number: u64, part: &Part) -> Option<Reply> {
+    /// Refuses while another VM reaches the store: that VM takes the partition over there, and both
+    /// would grant the same tokens.
+    async fn take_over_without_store(&self, partition_id: u64, part: &Part) -> Option<Reply> {
         if part.hold.get().is_some() {
             return None;
         }
-        if !self.reaches_most().await || !self.reaching_store(number, LATELY).await.is_empty() {
+        if !self.reaches_most().await || !self.reaching_store(partition_id, LATELY).await.is_empty()
+        {
             return Some(Reply::Away);
         }
-        self.gather(number).await;
-        let counts = part.hold.get().is_some()
-            || self.is_next(number) && self.keeper.take_from_copies(number, part);
-        (!counts).then_some(Reply::Away)
+        self.collect_copies(partition_id).await;
+        let taken = part.hold.get().is_some()
+            || self.is_first_candidate(partition_id)
+                && self.keeper.take_over_from_copies(partition_id, part);
+        (!taken).then_some(Reply::Away)
     }
 
-    /// Whether this VM comes next for a partition that no live VM counts.
-    fn is_next(&self, part: u64) -> bool {
+    /// Whether this VM is first in rendezvous order for a partition without an announced owner.
+    fn is_first_candidate(&self, part: u64) -> bool {
         let view = self.view.borrow();
         let key = format!("allowance/{part}");
         let first = view.members.values();
         let first = first.max_by_key(|member| rendezvous(&key, member.vm.as_str()));
-        let mine = first.is_some_and(|first| first.vm == self.settings.vm);
-        mine && view.owner(Shard(part)).is_none()
+        let is_first = first.is_some_and(|first| first.vm == self.settings.vm);
+        is_first && view.owner(Shard(part)).is_none()
     }
 }
--- a/src/gateway/tokens/handover.rs
+++ b/src/gateway/tokens/handover.rs
@@ -1,9 +1,10 @@
-//! Passes partitions on while this VM lives: it stops, it has lost the store, or another one counts them.
+//! Hands owned partitions over while this VM is running: it is stopping, it has lost the store, or
+//! another VM owns them under a higher epoch.
 
 use crate::gateway::Gateway;
 use crate::gateway::peers::{Peer, Question, Reply};
-use crate::gateway::tokens::counter::TAKE;
-use crate::gateway::tokens::keeper::PATIENCE;
+use crate::gateway::tokens::counter::TAKEOVER_TIMEOUT;
+use crate::gateway::tokens::keeper::STORE_TIMEOUT;
 use crate::gateway::tokens::part::{Hold, Part};
 use crate::policy::allowance::Entry;
 use crate::policy::trust::Origin;
@@ -12,115 +13,133 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Programs in one datagram of a partition that is handed over.
-const ADOPTED: usize = 4;
+/// Accounts sent in one datagram of a handover.
+const ENTRIES_PER_DATAGRAM: usize = 4;
 
-/// The time in which a record that waits is tried again: tries are up to 400 ms apart.
-const RECORDED: Duration = Duration::from_millis(500);
+/// Longer than the maximum delay between two attempts to write a pending record.
+const WRITE_RETRY_WAIT: Duration = Duration::from_millis(500);
 
-/// Why a VM hands its partitions over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Reason {
-    /// It is about to end.
+    /// The VM is about to exit.
     Stopping,
-    /// It has not reached the store since then.
+    /// The VM has not reached the store since this time.
     Lost(Instant),
 }
 
-fn stay(part: u64, reason: &'static str) {
-    event!(info, "allowances_stay", part = part, reason = reason);
+fn log_kept(partition_id: u64, reason: &'static str) {
+    event!(
+        info,
+        "allowances_stay",
+        part = partition_id,
+        reason = reason
+    );
 }
 
 impl Gateway {
-    /// Hands the partitions that this VM counts over to others.
+    /// Hands the owned partitions over to other VMs.
     ///
-    /// A VM that has lost the store alone gives no more durable allowances; were it to go on with
-    /// copies, and all VMs lost power, what it gave would be given again. Where all have lost the store
-    /// it goes on: those that it would hand over to can't record either.
+    /// A VM that alone has lost the store can only grant allowances copied to other VMs. If all VMs
+    /// then lost power, the same tokens would be granted again. If all VMs have lost the store, the
+    /// partitions stay: the others can't write records either.
     pub(crate) async fn hand_over(&self, reason: Reason) {
-        let mut tried = reason == Reason::Stopping;
-        for (number, part) in self.keeper.held() {
-            let Some(next) = self.successor(number, reason).await else {
-                return stay(number, "no VM reaches the store");
+        let mut store_checked = reason == Reason::Stopping;
+        for (partition_id, part) in self.keeper.held() {
+            let Some(successor) = self.choose_successor(partition_id, reason).await else {
+                return log_kept(partition_id, "no VM reaches the store");
             };
-            if !std::mem::replace(&mut tried, true) && self.is_store_back(number).await {
-                return stay(number, "the store is back");
+            if !std::mem::replace(&mut store_checked, true)
+                && self.is_store_back(partition_id).await
+            {
+                return log_kept(partition_id, "the store is back");
             }
-            self.hand_part_over(number, &part, &next, reason).await;
+            self.hand_over_partition(partition_id, &part, &successor, reason)
+                .await;
         }
     }
 
-    /// Whether the store takes records from this VM again.
+    /// Whether the store accepts records from this VM again.
     ///
-    /// When the store is back for all, VMs find out within a second of each other: those that had not yet
-    /// handed their partitions to those that had.
-    async fn is_store_back(&self, number: u64) -> bool {
-        let read = timeout(PATIENCE, self.keeper.owner(number)).await;
+    /// After an outage VMs notice within a second of each other that the store is back. Without
+    /// this check, those that notice late would hand their partitions to those that noticed early.
+    async fn is_store_back(&self, partition_id: u64) -> bool {
+        let read = timeout(STORE_TIMEOUT, self.keeper.read_owner(partition_id)).await;
         if !matches!(read, Ok(Ok(_))) {
             return false;
         }
-        sleep(RECORDED).await;
+        sleep(WRITE_RETRY_WAIT).await;
         self.keeper.has_store()
     }
 
-    /// The VM that goes on with a partition.
-    async fn successor(&self, number: u64, reason: Reason) -> Option<Peer> {
+    /// Picks the VM to hand a partition to.
+    async fn choose_successor(&self, partition_id: u64, reason: Reason) -> Option<Peer> {
         match reason {
-            Reason::Stopping => self.next_counter(number),
+            Reason::Stopping => self.next_candidate(partition_id),
             Reason::Lost(since) => {
-                let mut reaching = self.reaching_store(number, since.elapsed()).await;
-                (!reaching.is_empty()).then(|| reaching.swap_remove(0))
+                let mut candidates = self.reaching_store(partition_id, since.elapsed()).await;
+                (!candidates.is_empty()).then(|| candidates.swap_remove(0))
             }
         }
     }
 
-    async fn hand_part_over(&self, number: u64, part: &Part, next: &Peer, reason: Reason) {
+    async fn hand_over_partition(
+        &self,
+        partition_id: u64,
+        part: &Part,
+        successor: &Peer,
+        reason: Reason,
+    ) {
         let Some(hold) = part.hold.take() else {
             return;
         };
-        part.handing.set(true);
-        part.written.notify_waiters();
-        let entries = part.entries();
-        part.successor.set(Some(next.address));
-        let whole = self
-            .send_entries(number, part, (next, hold), &entries, reason)
+        part.handover_in_progress.set(true);
+        part.record_written.notify_waiters();
+        let entries = part.export_entries();
+        part.successor.set(Some(successor.address));
+        let complete = self
+            .send_entries(partition_id, part, (successor, hold), &entries, reason)
             .await;
-        if whole {
+        if complete {
             part.ledger.take();
             part.pending.take();
-            part.shut_out.set(Some(Instant::now()));
+            part.ownership_ended.set(Some(Instant::now()));
         } else {
-            // Nobody took it; if somebody did all the same, the store refuses what is written.
+            // The handover failed. If the other VM owns the partition all the same, the store
+            // rejects this VM's writes.
             part.hold.set(Some(hold));
             part.successor.set(None);
         }
-        part.handing.set(false);
-        part.handed.notify_waiters();
+        part.handover_in_progress.set(false);
+        part.handover_ended.notify_waiters();
         event!(
             info,
             "allowances_handed_over",
-            part = number,
-            to = next.vm,
+            part = partition_id,
+            to = successor.vm,
             programs = entries.len(),
-            whole = whole
+            whole = complete
         );
     }
 
-    /// Sends a partition to its successor; tells whether that one goes on with all of it.
+    /// Sends the accounts of a partition to its new owner; returns whether it acknowledged all of
+    /// them.
     async fn send_entries(
         &self,
-        number: u64,
+        partition_id: u64,
         part: &Part,
         (next, hold): (&Peer, Hold),
         entries: &[(Entry, u64)],
         reason: Reason,
     ) -> bool {
         let doubtful = part.ledger.borrow().is_doubtful();
-        let chunks = entries.len().div_ceil(ADOPTED).max(1);
+        let chunks = entries.len().div_ceil(ENTRIES_PER_DATAGRAM).max(1);
         for index in 0..chunks {
-            let chunk = entries.iter().skip(index * ADOPTED).take(ADOPTED);
+            let chunk = entries
+                .iter()
+                .skip(index * ENTRIES_PER_DATAGRAM)
+                .take(ENTRIES_PER_DATAGRAM);
             let question = Question::Adopt {
-                part: number,
+                part: partition_id,
                 epoch: hold.epoch,
                 entries: chunk.cloned().collect(),
                 doubtful,
@@ -135,46 +154,49 @@
         true
     }
 
-    /// Goes on with a partition that another VM hands over, once all of it has come.
-    pub(crate) async fn adopt(
+    /// Receives one part of a handover, and takes the partition over after the last one.
+    pub(crate) async fn receive_handover(
         self: &Rc<Self>,
-        number: u64,
+        partition_id: u64,
         epoch: u64,
         entries: Vec<(Entry, u64)>,
         (first, last): (bool, bool),
         ending: bool,
     ) -> Reply {
-        let part = self.keeper.part(number);
+        let part = self.keeper.part(partition_id);
         if first {
-            // What is left of a hand-over that broke off is older.
-            part.incoming.take();
+            // Discard what an interrupted handover left behind.
+            part.incoming_entries.take();
         }
-        part.incoming.borrow_mut().extend(entries);
+        part.incoming_entries.borrow_mut().extend(entries);
         if !last {
             return Reply::Kept;
         }
-        let entries = part.incoming.take();
-        let taking = self.keeper.take(number, &part, None, Origin::HandedOver);
-        let taken = timeout(TAKE, taking).await;
-        let taken = matches!(taken, Ok(Ok(())));
-        if !taken && !ending {
+        let entries = part.incoming_entries.take();
+        let takeover = self
+            .keeper
+            .take_over(partition_id, &part, None, Origin::HandedOver);
+        let taken_over = timeout(TAKEOVER_TIMEOUT, takeover).await;
+        let taken_over = matches!(taken_over, Ok(Ok(())));
+        if !taken_over && !ending {
             return Reply::Away;
         }
-        self.keeper.adopt(number, epoch, entries, taken);
-        Rc::clone(&self.keeper).start_writing(number, part);
+        self.keeper
+            .import_partition(partition_id, epoch, entries, taken_over);
+        Rc::clone(&self.keeper).start_writer(partition_id, part);
         Reply::Kept
     }
 
-    /// Gives up partitions that another VM counts under a newer epoch.
+    /// Gives up partitions that another VM has announced under a higher epoch.
     pub(crate) fn yield_claimed(&self) {
-        for (number, part) in self.keeper.held() {
+        for (partition_id, part) in self.keeper.held() {
             let view = self.view.borrow();
             let others = view.members.values();
             let others = others.filter(|member| member.vm != self.settings.vm);
             let mut claims = others.flat_map(|member| &member.held);
             let epoch = part.hold.get().map_or(0, |hold| hold.epoch);
-            if claims.any(|(shard, claimed)| shard.0 == number && claimed.0 > epoch) {
-                self.keeper.shut_out(number, &part, epoch);
+            if claims.any(|(shard, claimed)| shard.0 == partition_id && claimed.0 > epoch) {
+                self.keeper.lose_ownership(partition_id, &part, epoch);
             }
         }
     }
--- a/src/gateway/tokens/keeper.rs
+++ b/src/gateway/tokens/keeper.rs
@@ -1,8 +1,9 @@
-//! Counts the tokens of programs: one VM for each partition, found by the members' names.
+//! Token accounting of programs. Programs are hashed to partitions, and each partition is owned by
+//! one VM, the first live member in rendezvous order.
 //!
-//! Which VM counts a partition is computed and may be disputed for a while. Nothing rests on it: a
-//! VM that takes over raises the epoch of the partition's writer at the store, and from then on the
-//! store refuses the records of the one before.
+//! VMs may disagree for a while on who owns a partition. That is safe: a VM that takes a partition
+//! over raises the epoch of its writer at the store, and the store then rejects records of the
+//! previous owner.
 
 use crate::clock;
 use crate::gateway::peers::Copy;
@@ -23,119 +24,126 @@
 use tokio::time::{Instant, sleep};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a turn waits for the store before its allowance is kept by other VMs instead. A record
-/// takes about 8 ms on a good day; a store that is slow or away must not hold up every program.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(250);
-/// Keys that begin so are not of programs.
-pub(crate) const OURS: char = '@';
-/// The key of the record that tells when the VM that counts a partition last could record: the time
-/// of day in milliseconds.
-pub(crate) const ALIVE_KEY: &str = "@alive";
-/// Time between two records of [`ALIVE_KEY`].
-const ALIVE: Duration = Duration::from_secs(1);
-/// How long a copy is kept.
-const KEPT: Duration = Duration::from_mins(2);
-/// The pause between two tries of a record, at first and at most: every VM that counts tries for each
-/// of its partitions, and a store that is away should not be met by all of that at once.
-const AGAIN: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(400));
-/// Failures in a row after which this VM says that it has lost the store.
-const LOST: u32 = 2;
-/// After this long without a failure the store is tried again.
-const TRY_AGAIN: Duration = Duration::from_secs(1);
-/// How long a program may pause where its route does not say.
-pub(crate) const IDLE: Duration = Duration::from_mins(1);
-/// Added to the pause of a program before its record is dropped.
-const IDLE_MARGIN: Duration = Duration::from_secs(30);
+/// How long a turn waits for the store to take its allowance before the allowance is written to a
+/// fallback partition or copied to other VMs.
+pub(crate) const STORE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Keys with this prefix hold metadata of the partition; all others are programs.
+pub(crate) const INTERNAL_KEY_PREFIX: char = '@';
+/// Key of the owner's heartbeat record. Its value is a Unix time in milliseconds.
+pub(crate) const HEARTBEAT_KEY: &str = "@alive";
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// How long copies of allowances of other owners are kept.
+const COPY_LIFETIME: Duration = Duration::from_mins(2);
+/// Initial and maximum delay between two attempts to write a record. Every owned partition retries
+/// on its own, so the delay bounds the load on a store that is down.
+const RETRY_BACKOFF: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_millis(400));
+/// Consecutive failures after which the store counts as unavailable.
+const MAX_STORE_FAILURES: u32 = 2;
+/// Time since the last failure after which the store may be tried again.
+const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a program may pause between two turns if its route sets no limit.
+pub(crate) const PROGRAM_IDLE_TIMEOUT: Duration = Duration::from_mins(1);
+/// Added to the idle timeout before the records of a program are dropped.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(30);
 
-/// The partitions that this VM counts, and what it has seen of programs.
+/// The partitions known to this VM, and the client of the store that they are recorded in.
 #[derive(Debug)]
 pub(crate) struct Keeper {
-    /// Where other VMs ask this one.
+    /// Address for messages from other VMs.
     pub(crate) address: SocketAddr,
-    /// The number of this VM.
-    pub(crate) vm: u64,
+    pub(crate) vm_number: u64,
     pub(crate) store: Store,
-    pub(crate) count: u64,
-    parts: RefCell<HashMap<u64, Rc<Part>>>,
-    pub(crate) seen: RefCell<HashMap<String, u64>>,
-    /// Allowances that were given and can't be recorded, since this VM was shut out.
-    pub(crate) orphans: RefCell<Vec<Copy>>,
-    /// The VM that last granted a reservation of a partition.
-    pub(crate) counted_at: RefCell<HashMap<u64, SocketAddr>>,
-    failures: Cell<u32>,
-    failed: Cell<Option<Instant>>,
+    pub(crate) partition_count: u64,
+    partitions: RefCell<HashMap<u64, Rc<Part>>>,
+    pub(crate) reported_totals: RefCell<HashMap<String, u64>>,
+    /// Allowances that were granted but not recorded before this VM lost ownership of their
+    /// partition.
+    pub(crate) orphaned_copies: RefCell<Vec<Copy>>,
+    /// The VM that last answered as owner of each partition.
+    pub(crate) last_owners: RefCell<HashMap<u64, SocketAddr>>,
+    consecutive_failures: Cell<u32>,
+    last_failure: Cell<Option<Instant>>,
     pub(crate) began: Instant,
 }
 
-/// Leave for one turn to generate tokens; ends with [`Gateway::settle`].
+/// Permission for one turn to generate tokens. Released by [`Gateway::settle`].
 #[derive(Debug, Clone)]
 pub(crate) struct Allowance {
     pub(crate) owner: Option<SocketAddr>,
     pub(crate) part: u64,
     pub(crate) reservation: u64,
-    /// Turns of the program so far, this one included.
+    /// Number of turns of the program so far, including this one.
     pub(crate) turns: u32,
 }
 
 impl Keeper {
-    pub(crate) fn new(address: SocketAddr, store: SocketAddr, count: u64) -> Self {
+    pub(crate) fn new(address: SocketAddr, store: SocketAddr, partition_count: u64) -> Self {
         Self {
             address,
-            vm: peers::vm_number(address),
+            vm_number: peers::vm_number(address),
             store: Store::new(store),
-            count,
-            parts: RefCell::default(),
-            seen: RefCell::default(),
-            counted_at: RefCell::default(),
-            orphans: RefCell::default(),
-            failures: Cell::new(0),
-            failed: Cell::new(None),
+            partition_count,
+            partitions: RefCell::default(),
+            reported_totals: RefCell::default(),
+            last_owners: RefCell::default(),
+            orphaned_copies: RefCell::default(),
+            consecutive_failures: Cell::new(0),
+            last_failure: Cell::new(None),
             began: Instant::now(),
         }
     }
 
-    pub(crate) fn part(&self, number: u64) -> Rc<Part> {
-        Rc::clone(self.parts.borrow_mut().entry(number).or_default())
+    pub(crate) fn part(&self, partition_id: u64) -> Rc<Part> {
+        Rc::clone(
+            self.partitions
+                .borrow_mut()
+                .entry(partition_id)
+                .or_default(),
+        )
     }
 
-    pub(crate) fn part_of(&self, program: &str) -> u64 {
-        xxh3_64(program.as_bytes()) % self.count
+    pub(crate) fn part_of(&self, key: &str) -> u64 {
+        xxh3_64(key.as_bytes()) % self.partition_count
     }
 
-    /// For how long this VM has run, in milliseconds.
-    pub(crate) fn up_ms(&self) -> u64 {
+    pub(crate) fn uptime_ms(&self) -> u64 {
         u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Records that this VM can record.
-    pub(crate) fn tell_alive(self: &Rc<Self>) {
-        for (number, part) in self.held() {
-            part.lack(ALIVE_KEY, clock::wall_ms());
-            Rc::clone(self).start_writing(number, part);
+    /// Queues a heartbeat record for each owned partition.
+    pub(crate) fn queue_heartbeats(self: &Rc<Self>) {
+        for (partition_id, part) in self.held() {
+            part.add_pending(HEARTBEAT_KEY, clock::wall_ms());
+            Rc::clone(self).start_writer(partition_id, part);
         }
     }
 
-    /// Whether the store takes records from this VM.
+    /// Whether the store accepts records from this VM. Turns true again [`STORE_RETRY_INTERVAL`] after the
+    /// last failure, so that the store is retried.
     pub(crate) fn has_store(&self) -> bool {
-        let lately = self
-            .failed
+        let failed_recently = self
+            .last_failure
             .get()
-            .is_some_and(|failed| failed.elapsed() < TRY_AGAIN);
-        self.failures.get() < LOST || !lately
+            .is_some_and(|last_failure| last_failure.elapsed() < STORE_RETRY_INTERVAL);
+        self.consecutive_failures.get() < MAX_STORE_FAILURES || !failed_recently
     }
 
-    /// Whether no partition takes records from this VM. Once that is known, callers are not made to
-    /// find it out again: the records of the partitions that it counts are tried all the time, and
-    /// tell when the store is back.
-    pub(crate) fn is_away(&self) -> bool {
-        self.failures.get() >= LOST && (!self.has_store() || !self.held().is_empty())
+    /// Whether callers should skip the store without waiting for it. While this VM owns partitions,
+    /// their writers keep retrying and notice when the store is back, so callers need not probe it.
+    pub(crate) fn skips_store(&self) -> bool {
+        self.consecutive_failures.get() >= MAX_STORE_FAILURES
+            && (!self.has_store() || !self.held().is_empty())
     }
 
-    pub(crate) fn heard(&self, good: bool) {
+    pub(crate) fn note_store_result(&self, succeeded: bool) {
         let before = self.has_store();
-        self.failures
-            .set(if good { 0 } else { self.failures.get() + 1 });
-        self.failed.set((!good).then(Instant::now));
+        self.consecutive_failures.set(if succeeded {
+            0
+        } else {
+            self.consecutive_failures.get() + 1
+        });
+        self.last_failure.set((!succeeded).then(Instant::now));
         match (before, self.has_store()) {
             (true, false) => event!(warn, "store_lost", for_what = "allowances"),
             (false, true) => event!(info, "store_back", for_what = "allowances"),
@@ -143,22 +151,22 @@
         }
     }
 
-    pub(crate) fn settle(&self, part: u64, reservation: Reservation, used: u64) {
-        let part = self.part(part);
+    pub(crate) fn settle(&self, partition_id: u64, reservation: Reservation, used: u64) {
+        let part = self.part(partition_id);
         part.ledger
             .borrow_mut()
             .settle(Instant::now(), reservation, used);
     }
 
-    pub(crate) fn start_writing(self: Rc<Self>, number: u64, part: Rc<Part>) {
-        if !part.writing.replace(true) {
-            tokio::task::spawn_local(self.write(number, part));
+    pub(crate) fn start_writer(self: Rc<Self>, partition_id: u64, part: Rc<Part>) {
+        if !part.writer_running.replace(true) {
+            tokio::task::spawn_local(self.write_pending(partition_id, part));
         }
     }
 
-    /// Writes what is pending until nothing is left; one append at a time, so that allowances that
-    /// come meanwhile share the next one.
-    async fn write(self: Rc<Self>, number: u64, part: Rc<Part>) {
+    /// Writes pending records until none are left. Appends are sequential, so allowances that
+    /// arrive during an append share the next one.
+    async fn write_pending(self: Rc<Self>, partition_id: u64, part: Rc<Part>) {
         loop {
             let batch: Vec<(String, u64)> = part
                 .pending
@@ -167,153 +175,172 @@
                 .map(|(program, allowed)| (program.clone(), *allowed))
                 .collect();
             let Some(hold) = part.hold.get().filter(|_| !batch.is_empty()) else {
-                part.writing.set(false);
+                part.writer_running.set(false);
                 return;
             };
             if !hold.fenced {
-                if self.take(number, &part, None, hold.origin).await.is_err() {
-                    sleep(AGAIN.0).await;
+                if self
+                    .take_over(partition_id, &part, None, hold.origin)
+                    .await
+                    .is_err()
+                {
+                    sleep(RETRY_BACKOFF.0).await;
                 }
                 continue;
             }
             let records: Vec<Keyed> = batch
                 .iter()
-                .map(|(key, allowed)| encode(key, *allowed))
+                .map(|(key, allowed)| encode_record(key, *allowed))
                 .collect();
-            if !self.append(number, &part, hold, &records).await {
+            if !self.append_batch(partition_id, &part, hold, &records).await {
                 continue;
             }
-            part.take_recorded(batch);
-            part.written.notify_waiters();
+            part.mark_recorded(batch);
+            part.record_written.notify_waiters();
         }
     }
 
-    /// Appends one batch. Gives false where it has to be looked at anew.
-    async fn append(&self, number: u64, part: &Part, hold: Hold, records: &[Keyed]) -> bool {
+    /// Appends one batch, retrying until the store answers. Returns false if the writer's state
+    /// changed and the batch has to be rebuilt.
+    async fn append_batch(
+        &self,
+        partition_id: u64,
+        part: &Part,
+        hold: Hold,
+        records: &[Keyed],
+    ) -> bool {
         let writer = writer(hold.epoch, hold.sequence);
-        let mut pause = AGAIN.0;
+        let mut pause = RETRY_BACKOFF.0;
         loop {
             let began = (Instant::now(), clock::wall_ms());
             let done = self
                 .store
-                .append_surely(ALLOWANCE_TOPIC, number, records, Some(&writer))
+                .append_surely(ALLOWANCE_TOPIC, partition_id, records, Some(&writer))
                 .await;
             let next = |sequence| {
-                // Handed over meanwhile, it is not this VM's any more.
+                // The partition may have been handed over during the append.
                 if part.hold.get() == Some(hold) {
                     part.hold.set(Some(Hold { sequence, ..hold }));
                 }
             };
             match done {
                 Ok(()) => {
-                    self.heard(true);
+                    self.note_store_result(true);
                     part.confirmed.set(Some(began));
                     if part.failing.take().is_some() {
-                        event!(info, "records_flow", part = number);
+                        event!(info, "records_flow", part = partition_id);
                     }
                     next(hold.sequence + 1);
                     return true;
                 }
                 Err(Fault::Fenced) => {
-                    self.shut_out(number, part, hold.epoch);
+                    self.lose_ownership(partition_id, part, hold.epoch);
                     return false;
                 }
                 Err(Fault::Sequence(expected)) => {
                     event!(
                         warn,
                         "sequence_corrected",
-                        part = number,
+                        part = partition_id,
                         sent = hold.sequence,
                         expected = expected
                     );
                     next(expected);
-                    sleep(AGAIN.0).await;
+                    sleep(RETRY_BACKOFF.0).await;
                     return false;
                 }
-                // The same sequence number again: if it was done, the store says so.
+                // Retry with the same sequence number: the store deduplicates the append if it took
+                // effect.
                 Err(fault) => {
                     if part.failing.get().is_none() {
                         part.failing.set(Some(Instant::now()));
-                        event!(warn, "records_stuck", part = number, reason = fault);
+                        event!(warn, "records_stuck", part = partition_id, reason = fault);
                     }
                     sleep(pause).await;
-                    pause = (pause * 2).min(AGAIN.1);
+                    pause = (pause * 2).min(RETRY_BACKOFF.1);
                 }
             }
         }
     }
 
-    /// Another VM counts the partition.
-    pub(crate) fn shut_out(&self, number: u64, part: &Part, epoch: u64) {
-        event!(warn, "allowances_lost", part = number, epoch = epoch);
+    /// Gives up ownership because another VM owns the partition under a higher epoch.
+    pub(crate) fn lose_ownership(&self, partition_id: u64, part: &Part, epoch: u64) {
+        event!(warn, "allowances_lost", part = partition_id, epoch = epoch);
         part.hold.set(None);
-        part.shut_out.set(Some(Instant::now()));
-        let lacking = part.pending.take().into_iter();
-        let lacking = lacking.filter(|(key, _)| !key.starts_with(OURS));
-        let copies = lacking.map(|(program, allowed)| Copy {
-            part: number,
+        part.ownership_ended.set(Some(Instant::now()));
+        let unrecorded = part.pending.take().into_iter();
+        let unrecorded = unrecorded.filter(|(key, _)| !key.starts_with(INTERNAL_KEY_PREFIX));
+        let copies = unrecorded.map(|(program, allowed)| Copy {
+            part: partition_id,
             program,
             allowed,
             epoch,
             fenced: true,
         });
-        self.orphans.borrow_mut().extend(copies);
-        part.written.notify_waiters();
+        self.orphaned_copies.borrow_mut().extend(copies);
+        part.record_written.notify_waiters();
     }
 
-    /// Forgets programs that can't come back, here and at the store.
-    pub(crate) async fn expire(self: &Rc<Self>, idle: Duration) {
-        for part in self.parts.borrow().values() {
-            let mut kept = part.kept.borrow_mut();
-            kept.retain(|_, (_, told)| told.elapsed() < KEPT);
-            part.lacking
+    /// Drops programs that have been idle for longer than `idle`, from memory and from the store.
+    pub(crate) async fn expire_idle(self: &Rc<Self>, idle: Duration) {
+        for part in self.partitions.borrow().values() {
+            let mut copies = part.copies.borrow_mut();
+            copies.retain(|_, (_, updated_at)| updated_at.elapsed() < COPY_LIFETIME);
+            part.unrecorded_copies
                 .borrow_mut()
-                .retain(|program, _| kept.contains_key(program));
+                .retain(|program, _| copies.contains_key(program));
         }
-        for (number, part) in self.held() {
+        for (partition_id, part) in self.held() {
             let expired = part
                 .ledger
                 .borrow_mut()
-                .expire(Instant::now(), idle + IDLE_MARGIN);
+                .expire(Instant::now(), idle + IDLE_TIMEOUT_MARGIN);
             let fenced = part.hold.get().is_some_and(|hold| hold.fenced);
-            if expired.is_empty() || !fenced || part.writing.replace(true) {
+            if expired.is_empty() || !fenced || part.writer_running.replace(true) {
                 continue;
             }
             let dropped = expired.into_iter().map(|key| Keyed { key, value: None });
             let records: Vec<Keyed> = dropped.collect();
             if let Some(hold) = part.hold.get() {
-                self.append(number, &part, hold, &records).await;
+                self.append_batch(partition_id, &part, hold, &records).await;
             }
-            self.end_detours(number, &part, &records).await;
-            tokio::task::spawn_local(Rc::clone(self).write(number, part));
+            self.drop_fallback_records(partition_id, &part, &records)
+                .await;
+            tokio::task::spawn_local(Rc::clone(self).write_pending(partition_id, part));
         }
     }
 
-    /// Keeps the copy of an allowance.
-    pub(crate) fn keep(&self, copy: Copy) {
+    /// Merges a copy of an allowance; the highest value counts.
+    pub(crate) fn merge_copy(&self, copy: Copy) {
         let part = self.part(copy.part);
         if part.hold.get().is_some() {
-            // The VM that counted before has given more than was known here, and could not record
-            // it. Unless this VM does, the program gets it again once all VMs are lost.
+            // The previous owner granted more than this VM knew of and could not record it. Record
+            // it here, or the program could get these tokens again if all VMs are lost.
             let mut ledger = part.ledger.borrow_mut();
             if ledger.allowed(&copy.program) < copy.allowed {
-                part.lack(&copy.program, copy.allowed);
+                part.add_pending(&copy.program, copy.allowed);
             }
             ledger.restore(Instant::now(), &copy.program, copy.allowed);
             return;
         }
-        let mut kept = part.kept.borrow_mut();
-        let known = kept.entry(copy.program).or_insert((0, Instant::now()));
+        let mut copies = part.copies.borrow_mut();
+        let known = copies.entry(copy.program).or_insert((0, Instant::now()));
         *known = (copy.allowed.max(known.0), Instant::now());
     }
 
-    /// Goes on with a partition that another VM hands over.
-    pub(crate) fn adopt(&self, number: u64, epoch: u64, entries: Vec<(Entry, u64)>, fenced: bool) {
-        let part = self.part(number);
+    /// Imports the accounts of a partition handed over by its previous owner.
+    pub(crate) fn import_partition(
+        &self,
+        partition_id: u64,
+        epoch: u64,
+        entries: Vec<(Entry, u64)>,
+        fenced: bool,
+    ) {
+        let part = self.part(partition_id);
         let now = Instant::now();
-        for (entry, lacking) in entries {
-            if lacking > 0 {
-                part.lack(&entry.program, lacking);
+        for (entry, unrecorded) in entries {
+            if unrecorded > 0 {
+                part.add_pending(&entry.program, unrecorded);
             }
             part.ledger.borrow_mut().adopt(now, entry);
         }
@@ -321,7 +348,7 @@
         event!(
             info,
             "allowances_adopted",
-            part = number,
+            part = partition_id,
             epoch = epoch,
             programs = programs,
             fenced = fenced
@@ -337,33 +364,35 @@
         }
     }
 
-    /// What this VM tells the others of the partitions that it counts. Not those that it counts from copies
-    /// alone: whoever has taken one at the store must not give it up for that.
+    /// The partitions that this VM owns, and their epochs, as announced to the other members.
+    /// Partitions counted from copies alone are left out: they must not displace an owner that the
+    /// store has confirmed.
     pub(crate) fn claims(&self) -> Vec<(Shard, Epoch)> {
-        let parts = self.parts.borrow();
-        let held = parts.iter().filter_map(|(number, part)| {
+        let partitions = self.partitions.borrow();
+        let confirmed = partitions.iter().filter_map(|(partition_id, part)| {
             let hold = part.hold.get().filter(|hold| hold.fenced)?;
-            Some((Shard(*number), Epoch(hold.epoch)))
+            Some((Shard(*partition_id), Epoch(hold.epoch)))
         });
-        let mut claims: Vec<_> = held.collect();
+        let mut claims: Vec<_> = confirmed.collect();
         claims.sort_unstable();
         claims
     }
 
-    /// The partitions that this VM counts.
     pub(crate) fn held(&self) -> Vec<(u64, Rc<Part>)> {
-        let parts = self.parts.borrow();
-        let held = parts.iter().filter(|(_, part)| part.hold.get().is_some());
-        held.map(|(number, part)| (*number, Rc::clone(part)))
+        let partitions = self.partitions.borrow();
+        let held = partitions
+            .iter()
+            .filter(|(_, part)| part.hold.get().is_some());
+        held.map(|(partition_id, part)| (*partition_id, Rc::clone(part)))
             .collect()
     }
 
-    /// How many partitions this VM counts, and of how many programs.
+    /// The number of owned partitions, and of programs in them.
     pub(crate) fn size(&self) -> (usize, usize) {
-        let parts = self.parts.borrow();
-        let held = parts.values().filter(|part| part.hold.get().is_some());
-        held.fold((0, 0), |(parts, programs), part| {
-            (parts + 1, programs + part.ledger.borrow().len())
+        let partitions = self.partitions.borrow();
+        let held = partitions.values().filter(|part| part.hold.get().is_some());
+        held.fold((0, 0), |(owned, programs), part| {
+            (owned + 1, programs + part.ledger.borrow().len())
         })
     }
 }
@@ -377,26 +406,26 @@
     }
 }
 
-pub(crate) fn encode(program: &str, allowed: u64) -> Keyed {
+pub(crate) fn encode_record(key: &str, value: u64) -> Keyed {
     Keyed {
-        key: program.to_owned(),
-        value: Some(Bytes::from(allowed.to_string())),
+        key: key.to_owned(),
+        value: Some(Bytes::from(value.to_string())),
     }
 }
 
-pub(crate) fn decode(value: &Bytes) -> Option<u64> {
+pub(crate) fn decode_value(value: &Bytes) -> Option<u64> {
     std::str::from_utf8(value).ok()?.parse().ok()
 }
 
-/// Drops the records of programs that can't come back.
+/// Writes heartbeats and drops idle programs until the process ends.
 pub(crate) async fn keep_house(gateway: Rc<Gateway>) {
-    let mut expired = Instant::now();
+    let mut last_expiry = Instant::now();
     loop {
-        sleep(ALIVE).await;
-        gateway.keeper.tell_alive();
-        if expired.elapsed() >= IDLE_MARGIN / 3 {
-            expired = Instant::now();
-            gateway.keeper.expire(IDLE).await;
+        sleep(HEARTBEAT_INTERVAL).await;
+        gateway.keeper.queue_heartbeats();
+        if last_expiry.elapsed() >= IDLE_TIMEOUT_MARGIN / 3 {
+            last_expiry = Instant::now();
+            gateway.keeper.expire_idle(PROGRAM_IDLE_TIMEOUT).await;
         }
     }
 }
--- a/src/gateway/tokens/mod.rs
+++ b/src/gateway/tokens/mod.rs
@@ -1,7 +1,9 @@
-//! The tokens that programs may generate: who counts them, and what is recorded before they go out.
+//! Token budgets of programs: which VM accounts for a program, and what is recorded before tokens
+//! are handed out.
 //!
-//! A turn asks through `reserve`; the VM that counts its partition answers in `counter`, and records
-//! through `keeper`. The rest is for a store or a VM that is away.
+//! A turn reserves tokens through `reserve`. The VM that owns the program's partition answers in
+//! `counter` and records allowances through `keeper`. The other modules handle changes of ownership
+//! and times in which the store or a VM is unavailable.
 
 pub(crate) mod copies;
 pub(crate) mod counter;
--- a/src/gateway/tokens/part.rs
+++ b/src/gateway/tokens/part.rs
@@ -1,4 +1,4 @@
-//! One partition of programs: its ledger, and what is known of its records.
+//! State of one partition of programs: its ledger, and what is known of its records at the store.
 
 use crate::gateway::limits::count::Counted;
 use crate::policy::allowance::{Entry, Ledger};
@@ -9,106 +9,101 @@
 use tokio::sync::{Mutex, Notify};
 use tokio::time::Instant;
 
-/// The writer's hold on a partition.
+/// This VM's ownership of a partition, as the writer of its records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Hold {
     pub(crate) epoch: u64,
     pub(crate) sequence: u64,
-    /// Whether the store has shut out the writer before. Until then nothing can be recorded.
+    /// Whether the store has fenced off the previous writer. Nothing can be recorded until it has.
     pub(crate) fenced: bool,
-    /// How this VM came by the partition.
     pub(crate) origin: Origin,
 }
 
-/// One partition.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
     pub(crate) hold: Cell<Option<Hold>>,
     pub(crate) ledger: RefCell<Ledger>,
-    /// The teams that fall into it.
+    /// Rate-limit counters of the teams that hash to this partition.
     pub(crate) teams: RefCell<Counted>,
-    /// When the write began that the store took last, by the steady clock and the time of day.
+    /// When the last acknowledged write started: monotonic time, and Unix time in milliseconds.
     pub(crate) confirmed: Cell<Option<(Instant, u64)>>,
-    /// Allowances that are not durable yet.
+    /// Newest values by key that are not recorded at the store yet.
     pub(crate) pending: RefCell<HashMap<String, u64>>,
-    /// Allowances that the VM that counts has told this one, in case it takes over.
-    pub(crate) kept: RefCell<HashMap<String, (u64, Instant)>>,
-    /// Those of them that the store may lack.
-    pub(crate) lacking: RefCell<HashMap<String, u64>>,
-    /// When another VM last shut this one out.
-    pub(crate) shut_out: Cell<Option<Instant>>,
-    /// For how long the oldest VM had run that was asked for copies, in milliseconds.
-    pub(crate) oldest_ms: Cell<u64>,
-    /// Since when the store has not taken the newest record; none where it has.
+    /// Allowances received from the owner, with the time of receipt, for a takeover by this VM.
+    pub(crate) copies: RefCell<HashMap<String, (u64, Instant)>>,
+    /// Those of the copies that the store may not have.
+    pub(crate) unrecorded_copies: RefCell<HashMap<String, u64>>,
+    /// When this VM last lost ownership or handed it over.
+    pub(crate) ownership_ended: Cell<Option<Instant>>,
+    /// Highest uptime of this VM and the VMs that were asked for copies, in milliseconds.
+    pub(crate) oldest_uptime_ms: Cell<u64>,
+    /// Since when writes to the store have been failing; none if the last one succeeded.
     pub(crate) failing: Cell<Option<Instant>>,
-    /// Programs whose allowance was recorded in another partition.
-    pub(crate) detours: RefCell<HashSet<(u64, String)>>,
-    /// Whether it is being handed over to another VM.
-    pub(crate) handing: Cell<bool>,
-    /// Told when that is over.
-    pub(crate) handed: Notify,
-    /// What another VM is handing over.
-    pub(crate) incoming: RefCell<Vec<(Entry, u64)>>,
-    /// Where the partition was handed over to.
+    /// Fallback partitions and programs whose allowance may be recorded there.
+    pub(crate) fallback_records: RefCell<HashSet<(u64, String)>>,
+    /// Whether a handover to another VM is in progress.
+    pub(crate) handover_in_progress: Cell<bool>,
+    /// Notified when the handover ends.
+    pub(crate) handover_ended: Notify,
+    /// Entries received so far in a handover from another VM.
+    pub(crate) incoming_entries: RefCell<Vec<(Entry, u64)>>,
+    /// The VM that this one handed the partition to.
     pub(crate) successor: Cell<Option<SocketAddr>>,
-    pub(crate) taking: Mutex<()>,
-    pub(crate) writing: Cell<bool>,
-    pub(crate) written: Notify,
+    pub(crate) takeover_lock: Mutex<()>,
+    pub(crate) writer_running: Cell<bool>,
+    pub(crate) record_written: Notify,
 }
 
 impl Part {
-    /// The epoch under which this VM counts it.
+    /// The epoch under which this VM owns the partition.
     pub(crate) fn epoch(&self) -> Option<u64> {
         self.hold.get().map(|hold| hold.epoch)
     }
 
-    /// Whether this VM counts it, or is about to: it takes it at the store, or hands it over.
-    pub(crate) fn is_claimed(&self) -> bool {
-        let taking = self.taking.try_lock().is_err();
-        taking || self.hold.get().is_some() || self.handing.get()
+    /// Whether this VM owns the partition, is taking it over, or is handing it over.
+    pub(crate) fn is_owned_or_in_transfer(&self) -> bool {
+        let being_taken_over = self.takeover_lock.try_lock().is_err();
+        being_taken_over || self.hold.get().is_some() || self.handover_in_progress.get()
     }
 
-    /// Waits until it is not being handed over.
+    /// Waits until no handover is in progress.
     pub(crate) async fn settled(&self) {
         loop {
-            let handed = self.handed.notified();
-            if !self.handing.get() {
+            let ended = self.handover_ended.notified();
+            if !self.handover_in_progress.get() {
                 return;
             }
-            handed.await;
+            ended.await;
         }
     }
 
-    /// Its programs, each with the allowance that the store still lacks, or zero.
-    pub(crate) fn entries(&self) -> Vec<(Entry, u64)> {
+    /// The accounts of all programs, each with its unrecorded allowance, or zero.
+    pub(crate) fn export_entries(&self) -> Vec<(Entry, u64)> {
         let pending = self.pending.borrow();
         let entries = self.ledger.borrow().export().into_iter();
         let entries = entries.map(|entry| {
-            let lacking = pending.get(&entry.program).copied().unwrap_or_default();
-            let allowed = entry.allowed.max(lacking);
-            (Entry { allowed, ..entry }, lacking)
+            let unrecorded = pending.get(&entry.program).copied().unwrap_or_default();
+            let allowed = entry.allowed.max(unrecorded);
+            (Entry { allowed, ..entry }, unrecorded)
         });
         entries.collect()
     }
 
-    /// The store lacks an allowance.
-    pub(crate) fn lack(&self, program: &str, allowed: u64) {
+    /// Queues a value to be recorded; the highest value of a key counts.
+    pub(crate) fn add_pending(&self, key: &str, value: u64) {
         let mut pending = self.pending.borrow_mut();
-        let newest = pending.entry(program.to_owned()).or_default();
-        *newest = allowed.max(*newest);
+        let newest = pending.entry(key.to_owned()).or_default();
+        *newest = value.max(*newest);
     }
 
-    /// The store has taken a batch of allowances.
-    pub(crate) fn take_recorded(&self, batch: Vec<(String, u64)>) {
+    /// Applies a batch that the store has acknowledged.
+    pub(crate) fn mark_recorded(&self, batch: Vec<(String, u64)>) {
         let mut pending = self.pending.borrow_mut();
         let mut ledger = self.ledger.borrow_mut();
-        for (program, allowed) in batch {
-            ledger.recorded(&program, allowed);
-            if pending
-                .get(&program)
-                .is_some_and(|newest| *newest <= allowed)
-            {
-                pending.remove(&program);
+        for (key, allowed) in batch {
+            ledger.recorded(&key, allowed);
+            if pending.get(&key).is_some_and(|newest| *newest <= allowed) {
+                pending.remove(&key);
             }
         }
     }
--- a/src/gateway/tokens/reach.rs
+++ b/src/gateway/tokens/reach.rs
@@ -1,4 +1,4 @@
-//! Which other VMs reach the store, for a VM that has lost it.
+//! Finds VMs that reach the store, for a VM that has lost it.
 
 use crate::gateway::Gateway;
 use crate::gateway::peers::{Peer, Question, Reply};
@@ -7,25 +7,27 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// VMs that are asked. Where a third of all is cut off from the store, all of six are in one of 500 cases; in an
-/// outage none has it.
-const ASKED: usize = 6;
-/// How long they may take to answer: a round trip within a region takes 1 to 4 ms.
-const ANSWER: Duration = Duration::from_millis(70);
+/// VMs asked at a time.
+const MAX_VMS_ASKED: usize = 6;
+/// Time allowed for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(70);
 
 impl Gateway {
-    /// Those of the VMs that come next for a partition to which the store has answered a call that
-    /// began within `time`.
-    pub(crate) async fn reaching_store(&self, part: u64, time: Duration) -> Vec<Peer> {
+    /// Of the VMs that come next for a partition, those with an answer from the store to a call
+    /// that began within `max_age`.
+    pub(crate) async fn reaching_store(&self, part: u64, max_age: Duration) -> Vec<Peer> {
         let others = self.counters(part).into_iter();
         let others = others.filter(|peer| peer.ready && peer.vm != self.settings.vm);
-        let asks = others.take(ASKED).map(|peer| async move {
-            let reply = timeout(ANSWER, self.peers.ask(peer.address, &Question::Heard));
+        let replies = others.take(MAX_VMS_ASKED).map(|peer| async move {
+            let reply = timeout(
+                ANSWER_TIMEOUT,
+                self.peers.ask(peer.address, &Question::Heard),
+            );
             let Ok(Some(Reply::Heard { ago_ms })) = reply.await else {
                 return None;
             };
-            still_heard(time, ago_ms.map(Duration::from_millis)).then_some(peer)
+            still_heard(max_age, ago_ms.map(Duration::from_millis)).then_some(peer)
         });
-        join_all(asks).await.into_iter().flatten().collect()
+        join_all(replies).await.into_iter().flatten().collect()
     }
 }
--- a/src/gateway/tokens/reserve.rs
+++ b/src/gateway/tokens/reserve.rs
@@ -1,4 +1,4 @@
-//! Asks the VM that counts a program for leave to generate tokens.
+//! Reserves tokens of a program's budget at the owner of its partition.
 
 use crate::code::{Code, Failure};
 use crate::gateway::peers::{Note, Question, Reply};
@@ -11,56 +11,60 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often the VMs are asked in turn for one reservation.
-const ROUNDS: usize = 2;
-/// The pause between two rounds, in which the members hear who counts.
-const SETTLE: Duration = Duration::from_millis(80);
-/// VMs that are asked for one reservation.
-const ASKED: usize = 4;
-/// When a caller may come back whose program nobody can count now.
-const COME_BACK: Duration = Duration::from_millis(700);
-/// Programs whose spending is remembered at the VM through which they came.
-const SEEN: usize = 50_000;
+/// How many times the candidates for ownership are asked for one reservation.
+const MAX_ROUNDS: usize = 2;
+/// Pause between two rounds, in which ownership changes reach all members.
+const ROUND_PAUSE: Duration = Duration::from_millis(80);
+/// VMs asked per round.
+const MAX_VMS_PER_ROUND: usize = 4;
+/// `Retry-After` of a request whose program has no reachable owner.
+const RETRY_AFTER: Duration = Duration::from_millis(700);
+/// Programs whose last reported total is remembered.
+const MAX_REMEMBERED_PROGRAMS: usize = 50_000;
 
-fn uncounted() -> Failure {
+fn no_owner() -> Failure {
     let failure = Failure::refused(
         Code::LogUnavailable,
-        "nobody can count the program's tokens",
+        "no VM can account for the tokens of the program at present",
     );
-    failure.retry_after(COME_BACK)
+    failure.retry_after(RETRY_AFTER)
 }
 
-/// Whether the VM that counts a partition has answered.
+/// Whether a reply comes from the owner of the partition, so that no other VM is asked.
 ///
-/// It does where it can't record, too: it lives, and nobody else may count beside it. VMs that take partitions from
-/// each other while the store refuses everybody would give programs more than their budgets.
+/// An owner that can't record answers [`Reply::Unrecorded`], which is final too. If other VMs took
+/// its partition over while the store rejects writes from everyone, programs could exceed their
+/// budgets.
 const fn is_final(reply: &Reply) -> bool {
     !matches!(reply, Reply::NotOwner | Reply::Taken(_) | Reply::Away)
 }
 
 impl Gateway {
-    /// The VM that last answered for a partition, if it is a member and not silent.
-    fn counted_at(&self, part: u64) -> Option<SocketAddr> {
-        let address = self.keeper.counted_at.borrow().get(&part).copied()?;
+    /// The VM that last answered as owner, if it is a member and still answers.
+    fn last_owner(&self, part: u64) -> Option<SocketAddr> {
+        let address = self.keeper.last_owners.borrow().get(&part).copied()?;
         let view = self.view.borrow();
         let mut members = view.members.values();
         let member = members.any(|member| peers::address(member.address) == address);
         (member && !self.peers.is_silent(address)).then_some(address)
     }
 
-    /// The VMs to ask for a partition, in this order: the one that says that it counts, and those that would take
-    /// over.
+    /// The VMs to ask for a partition: the announced owner first, then those that should take over.
     fn candidates(&self, part: u64) -> VecDeque<SocketAddr> {
-        let claimed = self.claimed(part).map(|claimed| claimed.address);
+        let owner = self.claimed(part).map(|owner| owner.address);
         let others = self.counters(part).into_iter().map(|peer| peer.address);
-        let others = others.filter(|address| Some(*address) != claimed);
-        claimed.into_iter().chain(others).take(ASKED).collect()
+        let others = others.filter(|address| Some(*address) != owner);
+        owner
+            .into_iter()
+            .chain(others)
+            .take(MAX_VMS_PER_ROUND)
+            .collect()
     }
 
-    /// Asks for leave to generate up to `most` tokens for a program.
+    /// Reserves up to `most` tokens for one turn of a program.
     ///
     /// # Errors
-    /// [`Code::BudgetSpent`], or [`Code::LogUnavailable`] where nobody can tell now.
+    /// [`Code::BudgetSpent`], or [`Code::LogUnavailable`] if no owner can answer.
     pub(crate) async fn reserve(
         self: &Rc<Self>,
         program: &str,
@@ -68,7 +72,7 @@
         most: u64,
     ) -> Result<Allowance, Failure> {
         let part = self.keeper.part_of(program);
-        let seen = self.keeper.seen.borrow().get(program).copied();
+        let seen = self.keeper.reported_totals.borrow().get(program).copied();
         let seen = seen.unwrap_or_default();
         let reservation = self.peers.number();
         let question = |takeover| Question::Reserve {
@@ -82,7 +86,7 @@
         };
         match self.ask_counting(part, question).await {
             Some((Reply::Granted { turns, total }, peer)) => {
-                self.note_seen(program, total);
+                self.remember_total(program, total);
                 Ok(Allowance {
                     owner: (peer != self.address()).then_some(peer),
                     part,
@@ -94,84 +98,86 @@
                 Code::BudgetSpent,
                 "the token budget of the program is spent",
             )),
-            _ => Err(uncounted()),
+            _ => Err(no_owner()),
         }
     }
 
-    /// Asks the VM that counts a partition, whichever that is, and gives its answer and its address; none where
-    /// nobody counts it. `question` gets whether those that come first did not answer.
+    /// Sends a question to the owner of a partition. Returns the reply and the owner's address, or
+    /// none if no VM owns the partition and none takes it over. `question` is called with the
+    /// `takeover` flag of the message.
     pub(crate) async fn ask_counting(
         self: &Rc<Self>,
         part: u64,
         question: impl Fn(bool) -> Question,
     ) -> Option<(Reply, SocketAddr)> {
-        if let Some(peer) = self.counted_at(part) {
-            // Every request asks, and ranking hundreds of members for each would cost more than the answer.
-            let reply = self.ask_counter(peer, question(false)).await;
+        if let Some(peer) = self.last_owner(part) {
+            // Skips ranking all members in the common case.
+            let reply = self.ask_candidate(peer, question(false)).await;
             if let Some(reply) = reply.filter(is_final) {
                 return Some((reply, peer));
             }
-            self.keeper.counted_at.borrow_mut().remove(&part);
+            self.keeper.last_owners.borrow_mut().remove(&part);
         }
-        for round in 0..ROUNDS {
-            // One that says that it does not count may know better than this VM who does; only
-            // silence, or a second round, is a reason to take over.
+        for round in 0..MAX_ROUNDS {
+            // A candidate that answers `NotOwner` may know the owner when this VM does not. Only
+            // silence, or a second round, justifies a takeover.
             let mut takeover = round > 0;
             let mut candidates = self.candidates(part);
-            let mut asked = 0;
+            let mut asked_count = 0;
             while let Some(peer) = candidates.pop_front() {
-                asked += 1;
-                match self.ask_counter(peer, question(takeover)).await {
+                asked_count += 1;
+                match self.ask_candidate(peer, question(takeover)).await {
                     Some(reply) if is_final(&reply) => {
-                        self.keeper.counted_at.borrow_mut().insert(part, peer);
+                        self.keeper.last_owners.borrow_mut().insert(part, peer);
                         return Some((reply, peer));
                     }
-                    Some(Reply::Taken(address)) if asked < ASKED => {
+                    Some(Reply::Taken(address)) if asked_count < MAX_VMS_PER_ROUND => {
                         candidates.push_front(address);
                     }
                     other => takeover |= other != Some(Reply::NotOwner),
                 }
             }
-            sleep(SETTLE).await;
+            sleep(ROUND_PAUSE).await;
         }
         None
     }
 
-    async fn ask_counter(self: &Rc<Self>, peer: SocketAddr, question: Question) -> Option<Reply> {
+    async fn ask_candidate(self: &Rc<Self>, peer: SocketAddr, question: Question) -> Option<Reply> {
         if peer == self.address() {
             return Some(self.answer((peer, 0), question).await);
         }
         self.peers.ask(peer, &question).await
     }
 
-    /// Where other VMs ask this one.
+    /// Address for messages from other VMs.
     pub(crate) fn address(&self) -> SocketAddr {
         peers::address(self.settings.listen.peers)
     }
 
-    /// The number of this VM.
+    /// Numeric identifier of this VM, derived from its address.
     pub(crate) fn number(&self) -> u64 {
         peers::vm_number(self.address())
     }
 
-    pub(crate) fn own(&self, reservation: u64) -> Reservation {
+    pub(crate) fn own_reservation(&self, reservation: u64) -> Reservation {
         Reservation {
             vm: self.number(),
             number: reservation,
         }
     }
 
-    /// Remembers what a program has spent, for a VM that takes over without having seen it.
-    fn note_seen(&self, program: &str, total: u64) {
-        let mut seen = self.keeper.seen.borrow_mut();
-        if seen.len() >= SEEN {
-            seen.clear();
+    /// Remembers the reported total of a program. Later reservations carry it, so that a new owner
+    /// learns of it.
+    fn remember_total(&self, program: &str, total: u64) {
+        let mut totals = self.keeper.reported_totals.borrow_mut();
+        if totals.len() >= MAX_REMEMBERED_PROGRAMS {
+            totals.clear();
         }
-        let known = seen.entry(program.to_owned()).or_default();
+        let known = totals.entry(program.to_owned()).or_default();
         *known = total.max(*known);
     }
 
-    /// A turn is over: `used` tokens were handed out.
+    /// Releases the reservation of a finished turn, `used` tokens of which were handed out.
     pub(crate) async fn settle(&self, allowance: Allowance, used: u64) {
         let Allowance {
             owner,
@@ -180,9 +186,11 @@
             ..
         } = allowance;
         match owner {
-            None => self.keeper.settle(part, self.own(reservation), used),
+            None => self
+                .keeper
+                .settle(part, self.own_reservation(reservation), used),
             Some(owner) => {
-                let reservation = self.own(reservation);
+                let reservation = self.own_reservation(reservation);
                 let note = Note::Settled {
                     part,
                     reservation,
--- a/src/gateway/tokens/takeover.rs
+++ b/src/gateway/tokens/takeover.rs
@@ -1,7 +1,9 @@
-//! How a VM goes on with a partition that another VM has counted.
+//! Takes over a partition from its previous owner.
 
 use crate::clock;
-use crate::gateway::tokens::keeper::{ALIVE_KEY, IDLE, Keeper, OURS, decode, writer};
+use crate::gateway::tokens::keeper::{
+    HEARTBEAT_KEY, INTERNAL_KEY_PREFIX, Keeper, PROGRAM_IDLE_TIMEOUT, decode_value, writer,
+};
 use crate::gateway::tokens::part::{Hold, Part};
 use crate::id::Offset;
 use crate::platform::records::{ALLOWANCE_TOPIC, DETOUR_TOPIC};
@@ -15,37 +17,38 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The key of the record that names the VM that counts a partition; no program has such a name.
+/// Key of the record that names the owner.
 const OWNER_KEY: &str = "@owner";
-/// Epochs in one millisecond of the clock: so many VMs can be told apart.
-const EPOCHS: u64 = 1 << 12;
-/// By how much an epoch is raised that is too low: ten seconds of the clock.
-const EPOCH_STEP: u64 = 10_000 * EPOCHS;
-/// How long a VM must have run to trust that it was told of all programs that still go on.
-const COPIES_COMPLETE: Duration = Duration::from_secs(5);
-/// The key of the record that tells until when what was given without a record may have been
-/// forgotten: the time of day in milliseconds.
-const DOUBT_KEY: &str = "@doubt";
-/// How long before the oldest VM began to run a partition must have been recorded last for an
-/// outage of the store to have come between. VMs that all lose power are back after up to 2 s.
-const OUTAGE: Duration = Duration::from_millis(2500);
+/// Epochs per millisecond of the wall clock. The remainder is the VM number, so that two VMs do not
+/// use the same epoch.
+const EPOCHS_PER_MS: u64 = 1 << 12;
+/// Added to an epoch that the store rejects as too low; equals ten seconds of the clock.
+const EPOCH_STEP: u64 = 10_000 * EPOCHS_PER_MS;
+/// Uptime after which this VM has received copies for all programs that are still active.
+const MIN_UPTIME_FOR_COPIES: Duration = Duration::from_secs(5);
+/// Key of the record that marks a partition as incomplete: tokens granted without a record may have
+/// been lost. Its value is the Unix time in milliseconds at which the mark expires.
+const INCOMPLETE_KEY: &str = "@doubt";
+/// Minimum gap between the last heartbeat of a partition and the start of the oldest VM that counts
+/// as a store outage. Covers the restart after a power loss of all VMs.
+const MIN_OUTAGE: Duration = Duration::from_millis(2500);
 
-/// Who has taken a partition last, as the store tells it.
+/// The owner record of a partition.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Owner {
-    /// The record: where the VM is asked, and when it took the partition.
+pub(crate) struct OwnerRecord {
+    /// The owner's address and the Unix time of its takeover in milliseconds, separated by a space.
     record: Option<Bytes>,
-    /// Where the partition ended when that was read.
+    /// End offset of the partition when the record was read.
     pub(crate) end: Offset,
 }
 
-impl Owner {
-    /// Whether nobody has ever taken it.
-    pub(crate) const fn is_none(&self) -> bool {
+impl OwnerRecord {
+    /// Whether the partition never had an owner.
+    pub(crate) const fn is_absent(&self) -> bool {
         self.record.is_none()
     }
 
-    /// Where the VM is asked.
+    /// The owner's address for messages between VMs.
     pub(crate) fn address(&self) -> Option<SocketAddr> {
         let text = std::str::from_utf8(self.record.as_ref()?).ok()?;
         let (address, _taken_ms) = text.split_once(' ')?;
@@ -54,72 +57,74 @@
 }
 
 impl Keeper {
-    /// Who has taken a partition last.
-    pub(crate) async fn owner(&self, number: u64) -> Result<Owner, Fault> {
-        let newest = self.store.newest(ALLOWANCE_TOPIC, number).await?;
+    /// Reads the owner record of a partition.
+    pub(crate) async fn read_owner(&self, partition_id: u64) -> Result<OwnerRecord, Fault> {
+        let newest = self.store.newest(ALLOWANCE_TOPIC, partition_id).await?;
         let mut records = newest.records.into_iter();
         let record = records.find(|record| record.key == OWNER_KEY);
-        Ok(Owner {
+        Ok(OwnerRecord {
             record: record.and_then(|record| record.value),
             end: newest.end,
         })
     }
 
-    /// Takes a partition over: shuts out the writer before, then reads what it has recorded.
+    /// Takes a partition over: fences off the previous writer, then reads its records.
     ///
-    /// With `as_of` only if nobody has written to the partition since it ended there. VMs that start together
-    /// all read that nobody counts; without the condition each took the partition from the one before,
-    /// 50 times for 24 partitions, and what was allowed counted as spent each time.
-    pub(crate) async fn take(
+    /// With `as_of`, fails with [`Fault::Moved`] if anything was written to the partition after
+    /// that offset. VMs that start at the same time all read that there is no owner; the condition
+    /// lets only one of them win.
+    pub(crate) async fn take_over(
         &self,
-        number: u64,
+        partition_id: u64,
         part: &Part,
         as_of: Option<Offset>,
         origin: Origin,
     ) -> Result<(), Fault> {
-        let _taking = part.taking.lock().await;
+        let _guard = part.takeover_lock.lock().await;
         if part.hold.get().is_some_and(|hold| hold.fenced) {
             return Ok(());
         }
         let began = (Instant::now(), clock::wall_ms());
-        let hold = self.fence(number, as_of, origin).await?;
+        let hold = self
+            .fence_previous_owner(partition_id, as_of, origin)
+            .await?;
         part.confirmed.set(Some(began));
-        let newest = self.read_records(number, part).await?;
-        let kept = part.kept.take();
-        let ledger = self.ledger(part, &newest.records, &kept);
+        let newest = self.read_records(partition_id, part).await?;
+        let copies = part.copies.take();
+        let ledger = self.build_ledger(part, &newest.records, &copies);
         event!(
             info,
             "allowances_taken",
-            part = number,
+            part = partition_id,
             epoch = hold.epoch,
             programs = ledger.len(),
-            copies = kept.len(),
-            oldest_ms = part.oldest_ms.get(),
+            copies = copies.len(),
+            oldest_ms = part.oldest_uptime_ms.get(),
             doubtful = ledger.is_doubtful()
         );
-        // What the store has not taken yet must not be lost to the next VM.
-        for (program, (allowed, _)) in kept {
-            part.lack(&program, allowed);
+        // The store may lack these, and the next owner would miss them.
+        for (program, (allowed, _)) in copies {
+            part.add_pending(&program, allowed);
         }
-        // A copy may be older than the record, which would then be replaced by less than was given.
+        // A copy may be older than the record. Writing it would lower the allowance.
         let recorded = |key: &str| {
             let record = newest.records.iter().find(|record| record.key == key)?;
-            record.value.as_ref().and_then(decode)
+            record.value.as_ref().and_then(decode_value)
         };
         let mut pending = part.pending.borrow_mut();
         pending.retain(|key, allowed| recorded(key).is_none_or(|recorded| recorded < *allowed));
         drop(pending);
-        part.lack(ALIVE_KEY, clock::wall_ms());
+        part.add_pending(HEARTBEAT_KEY, clock::wall_ms());
         part.ledger.replace(ledger);
         part.hold.set(Some(hold));
         part.successor.set(None);
         Ok(())
     }
 
-    /// Raises the epoch of a partition's writer, so that the store refuses the one before.
-    async fn fence(
+    /// Writes the owner record under a new epoch, so that the store rejects the previous writer.
+    async fn fence_previous_owner(
         &self,
-        number: u64,
+        partition_id: u64,
         as_of: Option<Offset>,
         origin: Origin,
     ) -> Result<Hold, Fault> {
@@ -128,18 +133,19 @@
             key: OWNER_KEY.to_owned(),
             value: Some(record.clone()),
         }];
-        let mut epoch = self.epoch();
+        let mut epoch = self.next_epoch();
         loop {
             let writer = Writer {
                 as_of,
                 ..writer(epoch, 0)
             };
-            let append = self
-                .store
-                .append_surely(ALLOWANCE_TOPIC, number, &owner, Some(&writer));
+            let append =
+                self.store
+                    .append_surely(ALLOWANCE_TOPIC, partition_id, &owner, Some(&writer));
             let mut done = append.await;
-            // The answer may have been lost, and the partition ends later by this very record.
-            if done == Err(Fault::Moved) && self.owner(number).await?.record == Some(record.clone())
+            // The first answer may have been lost, and the end offset moved by this very record.
+            if done == Err(Fault::Moved)
+                && self.read_owner(partition_id).await?.record == Some(record.clone())
             {
                 done = Ok(());
             }
@@ -153,57 +159,63 @@
                     });
                 }
                 Err(Fault::Moved) => return Err(Fault::Moved),
-                // The clock of the VM before is ahead of this one's.
+                // The previous owner's clock is ahead of this one's.
                 Err(Fault::Fenced) => epoch += EPOCH_STEP,
                 Err(fault) => {
-                    self.heard(false);
+                    self.note_store_result(false);
                     return Err(fault);
                 }
             }
         }
     }
 
-    /// Reads the records of a partition, and adds those that went through others to the copies.
-    async fn read_records(&self, number: u64, part: &Part) -> Result<Newest, Fault> {
-        let detours = self
-            .other_parts(number)
+    /// Reads the records of a partition, and merges those in its fallback partitions into the
+    /// copies.
+    async fn read_records(&self, partition_id: u64, part: &Part) -> Result<Newest, Fault> {
+        let fallback_reads = self
+            .fallback_partitions(partition_id)
             .map(|other| self.store.newest(DETOUR_TOPIC, other));
-        let (newest, detours) = tokio::join!(
-            self.store.newest(ALLOWANCE_TOPIC, number),
-            futures::future::join_all(detours),
+        let (newest, fallback_reads) = tokio::join!(
+            self.store.newest(ALLOWANCE_TOPIC, partition_id),
+            futures::future::join_all(fallback_reads),
         );
-        self.heard(newest.is_ok());
+        self.note_store_result(newest.is_ok());
         let newest = newest?;
-        let detours = self.other_parts(number).into_iter().zip(&detours);
-        let detours = detours.filter_map(|(other, newest)| Some((other, newest.as_ref().ok()?)));
-        let detours = detours.flat_map(|(other, newest)| {
+        let fallback_reads = self
+            .fallback_partitions(partition_id)
+            .into_iter()
+            .zip(&fallback_reads);
+        let fallback_reads =
+            fallback_reads.filter_map(|(other, newest)| Some((other, newest.as_ref().ok()?)));
+        let fallback_reads = fallback_reads.flat_map(|(other, newest)| {
             let records = newest.records.iter();
             records.map(move |record| (other, record))
         });
-        for (other, detour) in detours {
-            let (Some(value), true) = (&detour.value, self.part_of(&detour.key) == number) else {
+        for (other, record) in fallback_reads {
+            let (Some(value), true) = (&record.value, self.part_of(&record.key) == partition_id)
+            else {
                 continue;
             };
-            part.detours
+            part.fallback_records
                 .borrow_mut()
-                .insert((other, detour.key.clone()));
-            let mut kept = part.kept.borrow_mut();
-            let known = kept.entry(detour.key.clone());
+                .insert((other, record.key.clone()));
+            let mut copies = part.copies.borrow_mut();
+            let known = copies.entry(record.key.clone());
             let known = known.or_insert((0, Instant::now()));
-            known.0 = decode(value).unwrap_or_default().max(known.0);
+            known.0 = decode_value(value).unwrap_or_default().max(known.0);
         }
         Ok(newest)
     }
 
-    /// The accounts as the records and the copies tell them.
-    fn ledger(
+    /// Builds the ledger from the records and the copies.
+    fn build_ledger(
         &self,
         part: &Part,
         records: &[Keyed],
-        kept: &HashMap<String, (u64, Instant)>,
+        copies: &HashMap<String, (u64, Instant)>,
     ) -> Ledger {
         let now = Instant::now();
-        // What was adopted, or counted while the store was away, is known better than its records.
+        // Accounts that this VM already owns are newer than their records.
         let mut ledger = part.ledger.take();
         if part.hold.get().is_none() {
             let doubtful = ledger.is_doubtful();
@@ -213,71 +225,72 @@
             }
         }
         let programs = records.iter();
-        for record in programs.filter(|record| !record.key.starts_with(OURS)) {
-            let allowed = record.value.as_ref().and_then(decode);
+        for record in programs.filter(|record| !record.key.starts_with(INTERNAL_KEY_PREFIX)) {
+            let allowed = record.value.as_ref().and_then(decode_value);
             ledger.restore(now, &record.key, allowed.unwrap_or_default());
         }
-        for (program, (allowed, _)) in kept {
+        for (program, (allowed, _)) in copies {
             ledger.restore(now, program, *allowed);
         }
-        // Where nobody was asked, this VM has been told all by the one before.
-        let oldest_ms = part.oldest_ms.get().max(self.up_ms());
-        if is_doubtful(records, oldest_ms) {
+        // In a handover no VM is asked for copies, since the previous owner sends everything; this
+        // VM's own uptime is used then.
+        let oldest_uptime_ms = part.oldest_uptime_ms.get().max(self.uptime_ms());
+        if may_lack_grants(records, oldest_uptime_ms) {
             ledger.doubt();
-            let until = clock::wall_ms() + u64::try_from(IDLE.as_millis()).unwrap_or(u64::MAX);
-            part.lack(DOUBT_KEY, until);
+            let until = clock::wall_ms()
+                + u64::try_from(PROGRAM_IDLE_TIMEOUT.as_millis()).unwrap_or(u64::MAX);
+            part.add_pending(INCOMPLETE_KEY, until);
         }
         ledger
     }
 
-    /// Counts a partition while the store is away, from the copies that this VM was told.
+    /// Takes a partition over from copies alone while the store is unavailable.
     ///
-    /// The VM that counted before may still live behind a partition of the network; it can't go
-    /// beyond allowances that are durable or copied, and all of those are taken as spent here.
-    pub(crate) fn take_from_copies(&self, number: u64, part: &Part) -> bool {
-        let kept = part.kept.borrow();
-        if kept.is_empty() || self.began.elapsed() < COPIES_COMPLETE {
+    /// The previous owner may still be running behind a network partition. It cannot grant more
+    /// than its durable or copied allowances, and all of these count as spent here.
+    pub(crate) fn take_over_from_copies(&self, partition_id: u64, part: &Part) -> bool {
+        let copies = part.copies.borrow();
+        if copies.is_empty() || self.began.elapsed() < MIN_UPTIME_FOR_COPIES {
             return false;
         }
         let mut ledger = Ledger::default();
-        for (program, (allowed, _)) in kept.iter() {
+        for (program, (allowed, _)) in copies.iter() {
             ledger.restore(Instant::now(), program, *allowed);
-            // Which of them the store lacks is not known while it is away.
-            part.lack(program, *allowed);
+            // The store can't be asked which of them it has.
+            part.add_pending(program, *allowed);
         }
         event!(
             warn,
             "allowances_taken_from_copies",
-            part = number,
-            programs = kept.len()
+            part = partition_id,
+            programs = copies.len()
         );
         part.ledger.replace(ledger);
         part.hold.set(Some(Hold {
-            epoch: self.epoch(),
+            epoch: self.next_epoch(),
             sequence: 0,
             fenced: false,
-            // The one before does not answer.
             origin: Origin::Silent(Instant::now()),
         }));
         true
     }
 
-    /// An epoch that is higher than those before, and no other VM's: two writers of one epoch would
-    /// not shut each other out.
-    fn epoch(&self) -> u64 {
-        clock::wall_ms() * EPOCHS + self.vm % EPOCHS
+    /// A new epoch, higher than earlier ones and different from those of other VMs.
+    fn next_epoch(&self) -> u64 {
+        clock::wall_ms() * EPOCHS_PER_MS + self.vm_number % EPOCHS_PER_MS
     }
 }
 
-/// Whether the VM that counted a partition may have given what no record and no live VM tells
-/// of: it could not record for a while, and then all VMs were lost.
-fn is_doubtful(records: &[Keyed], oldest_ms: u64) -> bool {
-    let time = |key| {
+/// Whether the previous owner may have granted tokens that neither a record nor a running VM knows
+/// of: it could not write for a while, and then all VMs were lost.
+fn may_lack_grants(records: &[Keyed], oldest_uptime_ms: u64) -> bool {
+    let time_of = |key| {
         let record = records.iter().find(|record| record.key == key);
-        record.and_then(|record| record.value.as_ref().and_then(decode))
+        record.and_then(|record| record.value.as_ref().and_then(decode_value))
     };
     let now = clock::wall_ms();
-    let outage = u64::try_from(OUTAGE.as_millis()).unwrap_or(u64::MAX);
-    let lost = time(ALIVE_KEY).is_some_and(|alive| alive + outage + oldest_ms < now);
-    lost || time(DOUBT_KEY).is_some_and(|until| now < until)
+    let min_outage_ms = u64::try_from(MIN_OUTAGE.as_millis()).unwrap_or(u64::MAX);
+    let gap_after_heartbeat = time_of(HEARTBEAT_KEY)
+        .is_some_and(|heartbeat| heartbeat + min_outage_ms + oldest_uptime_ms < now);
+    gap_after_heartbeat || time_of(INCOMPLETE_KEY).is_some_and(|until| now < until)
 }
