--- a/src/gateway/conversation/assemble.rs
+++ b/src/gateway/conversation/assemble.rs
@@ -40,7 +40,7 @@
                 Walk::TooLong => {
                     return Err(Failure::refused(
                         Code::TooLarge,
-                        "the conversation is longer than is kept",
+                        "the conversation exceeds the size limit",
                     ));
                 }
                 Walk::Missing(id) => id,
@@ -119,10 +119,16 @@
 }
 
 fn unknown_turn() -> Failure {
-    Failure::refused(Code::UnknownTurn, "there is no such turn to go on from")
+    Failure::refused(
+        Code::UnknownTurn,
+        "the turn to continue from does not exist",
+    )
 }
 
 fn history_unavailable() -> Failure {
-    let failure = Failure::refused(Code::HistoryAway, "what was said before can't be read now");
+    let failure = Failure::refused(
+        Code::HistoryAway,
+        "the history of the conversation can't be read at the moment",
+    );
     failure.retry_after(RETRY_AFTER)
 }
--- a/src/gateway/conversation/mod.rs
+++ b/src/gateway/conversation/mod.rs
@@ -49,7 +49,7 @@
 /// Factor by which records outlive the time asked for, so that continuing a conversation does not
 /// rewrite its earlier turns each time.
 const RETENTION_FACTOR: u32 = 2;
-/// Largest difference between the clocks of two VMs.
+/// Largest expected difference between the clocks of two VMs.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(6);
 /// Consecutive failures, over all buckets, after which the store counts as unavailable.
 const MAX_STORE_FAILURES: u32 = 2;
@@ -60,6 +60,7 @@
     store: RefCell<Store>,
     layout: Layout,
     cache: RefCell<Cache>,
+    /// Hints on which VM has a turn in memory.
     pointers: RefCell<Pointers>,
     writers: RefCell<HashMap<Bucket, Rc<BucketWriter>>>,
     bucket_reads: BucketReads,
@@ -111,7 +112,6 @@
         self.cache.borrow_mut().get(Instant::now(), id)
     }
 
-    /// Sizes for the operators' state page.
     pub(super) fn size(&self) -> Sizes {
         let writers = self.writers.borrow();
         let cache = self.cache.borrow();
--- a/src/gateway/conversation/record.rs
+++ b/src/gateway/conversation/record.rs
@@ -15,7 +15,8 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
 /// How long the end of an answer waits for the store before fallback partitions and other VMs are
-/// tried as well. Short timeouts send turns to other VMs at every hiccup of the store.
+/// tried as well. A shorter timeout would send turns to other VMs whenever the store is briefly
+/// slow.
 const STORE_TIMEOUT: Duration = Duration::from_millis(200);
 /// The same while writes to the store are failing.
 const STORE_DOWN_TIMEOUT: Duration = Duration::from_millis(20);
@@ -24,7 +25,7 @@
 /// Pause between two rounds of fallback writes.
 const FALLBACK_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// No write starts this close to the caller's deadline. A write in progress when the answer is cut
-/// could still take effect, and the store would have a turn that the caller was told is lost.
+/// could still take effect, and leave a turn at the store that the caller does not know of.
 const WRITE_CUTOFF: Duration = Duration::from_millis(100);
 /// Home VMs that are told where a turn is. More than one, since a datagram can be lost and VMs may
 /// disagree for a moment on their order.
@@ -133,16 +134,16 @@
         let fallback = async {
             let mut round = 0;
             loop {
-                let detour = timeout(
+                let recorded_in_fallback = timeout(
                     FALLBACK_TIMEOUT,
                     self.record_in_fallback_partition(bucket, turn),
                 );
-                let relay = self.record_through_peer(bucket, turn, round);
-                let (detour, relay) = tokio::join!(detour, relay);
-                if relay {
+                let relayed = self.record_through_peer(bucket, turn, round);
+                let (recorded_in_fallback, relayed) = tokio::join!(recorded_in_fallback, relayed);
+                if relayed {
                     return RecordedVia::OtherVm;
                 }
-                if detour == Ok(true) {
+                if recorded_in_fallback == Ok(true) {
                     return RecordedVia::FallbackPartition;
                 }
                 sleep(FALLBACK_RETRY_DELAY).await;
--- a/src/gateway/conversation/relay.rs
+++ b/src/gateway/conversation/relay.rs
@@ -1,6 +1,6 @@
 //! Records a turn through another VM when this VM cannot reach the store.
 //!
-//! Other VMs only write the turn to the store and keep no copy instead: a copy would not survive
+//! Other VMs write the turn to the store rather than keep a copy of it: a copy would not survive
 //! the loss of all VMs, although the answer had ended as complete.
 
 use super::exchange::{Answer, Message};
--- a/src/gateway/tokens/detour.rs
+++ b/src/gateway/tokens/detour.rs
@@ -25,12 +25,12 @@
         }
         let record = [encode_record(&copy.program, copy.allowed)];
         // Written to all at once, so that a turn does not wait for one timeout after another.
-        let writes = self.fallback_partitions(partition_id).map(|other| {
-            let write = self.store.append(DETOUR_TOPIC, other, &record, None);
-            Box::pin(async move { write.await.map(|()| other) })
+        let writes = self.fallback_partitions(partition_id).map(|fallback| {
+            let write = self.store.append(DETOUR_TOPIC, fallback, &record, None);
+            Box::pin(async move { write.await.map(|()| fallback) })
         });
         let written = timeout(STORE_TIMEOUT, select_ok(writes)).await;
-        let Ok(Ok((other, _))) = written else {
+        let Ok(Ok((fallback, _))) = written else {
             self.note_store_result(false);
             return false;
         };
@@ -38,14 +38,14 @@
         // The other writes may take effect as well.
         let possible = self
             .fallback_partitions(partition_id)
-            .map(|other| (other, copy.program.clone()));
+            .map(|fallback| (fallback, copy.program.clone()));
         part.fallback_records.borrow_mut().extend(possible);
         event!(
             info,
             "allowance_detoured",
             program = copy.program,
             part = partition_id,
-            through = other,
+            through = fallback,
             allowed = copy.allowed
         );
         true
@@ -61,17 +61,21 @@
         part: &Part,
         expired: &[Keyed],
     ) {
-        for other in self.fallback_partitions(partition_id) {
+        for fallback in self.fallback_partitions(partition_id) {
             let records: Vec<Keyed> = {
                 let mut fallback_records = part.fallback_records.borrow_mut();
                 let remove_tracked =
-                    |record: &&Keyed| fallback_records.remove(&(other, record.key.clone()));
+                    |record: &&Keyed| fallback_records.remove(&(fallback, record.key.clone()));
                 expired.iter().filter(remove_tracked).cloned().collect()
             };
             if records.is_empty() {
                 continue;
             }
-            if let Err(fault) = self.store.append(DETOUR_TOPIC, other, &records, None).await {
+            if let Err(fault) = self
+                .store
+                .append(DETOUR_TOPIC, fallback, &records, None)
+                .await
+            {
                 // A fallback record that stays is harmless: the partition's own record is at least
                 // as high.
                 event!(debug, "detours_left", part = partition_id, reason = fault);
--- a/src/gateway/tokens/handover.rs
+++ b/src/gateway/tokens/handover.rs
@@ -16,7 +16,7 @@
 /// Accounts sent in one datagram of a handover.
 const ENTRIES_PER_DATAGRAM: usize = 4;
 
-/// Longer than the maximum delay between two attempts to write a pending record.
+/// Time in which a pending record is retried at least once.
 const WRITE_RETRY_WAIT: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -154,7 +154,7 @@
         true
     }
 
-    /// Receives one part of a handover, and takes the partition over after the last one.
+    /// Receives one chunk of a handover, and takes the partition over after the last one.
     pub(crate) async fn receive_handover(
         self: &Rc<Self>,
         partition_id: u64,
@@ -195,7 +195,9 @@
             let others = others.filter(|member| member.vm != self.settings.vm);
             let mut claims = others.flat_map(|member| &member.held);
             let epoch = part.hold.get().map_or(0, |hold| hold.epoch);
-            if claims.any(|(shard, claimed)| shard.0 == partition_id && claimed.0 > epoch) {
+            if claims
+                .any(|(shard, claimed_epoch)| shard.0 == partition_id && claimed_epoch.0 > epoch)
+            {
                 self.keeper.lose_ownership(partition_id, &part, epoch);
             }
         }
--- a/src/gateway/tokens/keeper.rs
+++ b/src/gateway/tokens/keeper.rs
@@ -32,7 +32,7 @@
 /// Key of the owner's heartbeat record. Its value is a Unix time in milliseconds.
 pub(crate) const HEARTBEAT_KEY: &str = "@alive";
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// How long copies of allowances of other owners are kept.
+/// How long copies of allowances received from partition owners are kept.
 const COPY_LIFETIME: Duration = Duration::from_mins(2);
 /// Initial and maximum delay between two attempts to write a record. Every owned partition retries
 /// on its own, so the delay bounds the load on a store that is down.
@@ -42,7 +42,7 @@
 const MAX_STORE_FAILURES: u32 = 2;
 /// Time since the last failure after which the store may be tried again.
 const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a program may pause between two turns if its route sets no limit.
+/// Default time that a program may pause between two turns.
 pub(crate) const PROGRAM_IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 /// Added to the idle timeout before the records of a program are dropped.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(30);
@@ -56,6 +56,7 @@
     pub(crate) store: Store,
     pub(crate) partition_count: u64,
     partitions: RefCell<HashMap<u64, Rc<Part>>>,
+    /// Tokens spent or reserved by each program, as last reported by its owner.
     pub(crate) reported_totals: RefCell<HashMap<String, u64>>,
     /// Allowances that were granted but not recorded before this VM lost ownership of their
     /// partition.
@@ -70,6 +71,7 @@
 /// Permission for one turn to generate tokens. Released by [`Gateway::settle`].
 #[derive(Debug, Clone)]
 pub(crate) struct Allowance {
+    /// The owner of the program's partition; none if it is this VM.
     pub(crate) owner: Option<SocketAddr>,
     pub(crate) part: u64,
     pub(crate) reservation: u64,
@@ -119,8 +121,8 @@
         }
     }
 
-    /// Whether the store accepts records from this VM. Turns true again [`STORE_RETRY_INTERVAL`] after the
-    /// last failure, so that the store is retried.
+    /// Whether the store accepts records from this VM. Turns true again [`STORE_RETRY_INTERVAL`]
+    /// after the last failure, so that the store is retried.
     pub(crate) fn has_store(&self) -> bool {
         let failed_recently = self
             .last_failure
@@ -137,14 +139,14 @@
     }
 
     pub(crate) fn note_store_result(&self, succeeded: bool) {
-        let before = self.has_store();
+        let had_store = self.has_store();
         self.consecutive_failures.set(if succeeded {
             0
         } else {
             self.consecutive_failures.get() + 1
         });
         self.last_failure.set((!succeeded).then(Instant::now));
-        match (before, self.has_store()) {
+        match (had_store, self.has_store()) {
             (true, false) => event!(warn, "store_lost", for_what = "allowances"),
             (false, true) => event!(info, "store_back", for_what = "allowances"),
             _ => {}
@@ -172,7 +174,7 @@
                 .pending
                 .borrow()
                 .iter()
-                .map(|(program, allowed)| (program.clone(), *allowed))
+                .map(|(key, value)| (key.clone(), *value))
                 .collect();
             let Some(hold) = part.hold.get().filter(|_| !batch.is_empty()) else {
                 part.writer_running.set(false);
@@ -190,7 +192,7 @@
             }
             let records: Vec<Keyed> = batch
                 .iter()
-                .map(|(key, allowed)| encode_record(key, *allowed))
+                .map(|(key, value)| encode_record(key, *value))
                 .collect();
             if !self.append_batch(partition_id, &part, hold, &records).await {
                 continue;
@@ -210,27 +212,27 @@
         records: &[Keyed],
     ) -> bool {
         let writer = writer(hold.epoch, hold.sequence);
-        let mut pause = RETRY_BACKOFF.0;
+        let mut delay = RETRY_BACKOFF.0;
         loop {
-            let began = (Instant::now(), clock::wall_ms());
-            let done = self
+            let started_at = (Instant::now(), clock::wall_ms());
+            let result = self
                 .store
                 .append_surely(ALLOWANCE_TOPIC, partition_id, records, Some(&writer))
                 .await;
-            let next = |sequence| {
+            let set_sequence = |sequence| {
                 // The partition may have been handed over during the append.
                 if part.hold.get() == Some(hold) {
                     part.hold.set(Some(Hold { sequence, ..hold }));
                 }
             };
-            match done {
+            match result {
                 Ok(()) => {
                     self.note_store_result(true);
-                    part.confirmed.set(Some(began));
+                    part.confirmed.set(Some(started_at));
                     if part.failing.take().is_some() {
                         event!(info, "records_flow", part = partition_id);
                     }
-                    next(hold.sequence + 1);
+                    set_sequence(hold.sequence + 1);
                     return true;
                 }
                 Err(Fault::Fenced) => {
@@ -245,7 +247,7 @@
                         sent = hold.sequence,
                         expected = expected
                     );
-                    next(expected);
+                    set_sequence(expected);
                     sleep(RETRY_BACKOFF.0).await;
                     return false;
                 }
@@ -256,8 +258,8 @@
                         part.failing.set(Some(Instant::now()));
                         event!(warn, "records_stuck", part = partition_id, reason = fault);
                     }
-                    sleep(pause).await;
-                    pause = (pause * 2).min(RETRY_BACKOFF.1);
+                    sleep(delay).await;
+                    delay = (delay * 2).min(RETRY_BACKOFF.1);
                 }
             }
         }
@@ -281,7 +283,8 @@
         part.record_written.notify_waiters();
     }
 
-    /// Drops programs that have been idle for longer than `idle`, from memory and from the store.
+    /// Drops outdated copies, and drops programs idle for longer than `idle` from memory and the
+    /// store.
     pub(crate) async fn expire_idle(self: &Rc<Self>, idle: Duration) {
         for part in self.partitions.borrow().values() {
             let mut copies = part.copies.borrow_mut();
@@ -328,7 +331,9 @@
         *known = (copy.allowed.max(known.0), Instant::now());
     }
 
-    /// Imports the accounts of a partition handed over by its previous owner.
+    /// Imports the accounts of a partition handed over by its previous owner, each with its
+    /// unrecorded allowance. `fenced` tells whether this VM has taken the partition over at the
+    /// store.
     pub(crate) fn import_partition(
         &self,
         partition_id: u64,
@@ -380,19 +385,20 @@
 
     pub(crate) fn held(&self) -> Vec<(u64, Rc<Part>)> {
         let partitions = self.partitions.borrow();
-        let held = partitions
+        let owned = partitions
             .iter()
             .filter(|(_, part)| part.hold.get().is_some());
-        held.map(|(partition_id, part)| (*partition_id, Rc::clone(part)))
+        owned
+            .map(|(partition_id, part)| (*partition_id, Rc::clone(part)))
             .collect()
     }
 
     /// The number of owned partitions, and of programs in them.
     pub(crate) fn size(&self) -> (usize, usize) {
         let partitions = self.partitions.borrow();
-        let held = partitions.values().filter(|part| part.hold.get().is_some());
-        held.fold((0, 0), |(owned, programs), part| {
-            (owned + 1, programs + part.ledger.borrow().len())
+        let owned = partitions.values().filter(|part| part.hold.get().is_some());
+        owned.fold((0, 0), |(count, programs), part| {
+            (count + 1, programs + part.ledger.borrow().len())
         })
     }
 }
--- a/src/gateway/tokens/part.rs
+++ b/src/gateway/tokens/part.rs
@@ -16,6 +16,7 @@
     pub(crate) sequence: u64,
     /// Whether the store has fenced off the previous writer. Nothing can be recorded until it has.
     pub(crate) fenced: bool,
+    /// How this VM became the owner.
     pub(crate) origin: Origin,
 }
 
--- a/src/gateway/tokens/reserve.rs
+++ b/src/gateway/tokens/reserve.rs
@@ -19,7 +19,8 @@
 const MAX_VMS_PER_ROUND: usize = 4;
 /// `Retry-After` of a request whose program has no reachable owner.
 const RETRY_AFTER: Duration = Duration::from_millis(700);
-/// Programs whose last reported total is remembered.
+/// Limit on the programs whose last reported total is remembered. All are forgotten when it is
+/// reached.
 const MAX_REMEMBERED_PROGRAMS: usize = 50_000;
 
 fn no_owner() -> Failure {
@@ -45,8 +46,8 @@
         let address = self.keeper.last_owners.borrow().get(&part).copied()?;
         let view = self.view.borrow();
         let mut members = view.members.values();
-        let member = members.any(|member| peers::address(member.address) == address);
-        (member && !self.peers.is_silent(address)).then_some(address)
+        let is_member = members.any(|member| peers::address(member.address) == address);
+        (is_member && !self.peers.is_silent(address)).then_some(address)
     }
 
     /// The VMs to ask for a partition: the announced owner first, then those that should take over.
--- a/src/gateway/tokens/takeover.rs
+++ b/src/gateway/tokens/takeover.rs
@@ -29,8 +29,8 @@
 /// Key of the record that marks a partition as incomplete: tokens granted without a record may have
 /// been lost. Its value is the Unix time in milliseconds at which the mark expires.
 const INCOMPLETE_KEY: &str = "@doubt";
-/// Minimum gap between the last heartbeat of a partition and the start of the oldest VM that counts
-/// as a store outage. Covers the restart after a power loss of all VMs.
+/// A longer gap between the last heartbeat of a partition and the start of the oldest VM means that
+/// the store was unavailable in between. Exceeds the restart time after a power loss of all VMs.
 const MIN_OUTAGE: Duration = Duration::from_millis(2500);
 
 /// The owner record of a partition.
@@ -51,7 +51,7 @@
     /// The owner's address for messages between VMs.
     pub(crate) fn address(&self) -> Option<SocketAddr> {
         let text = std::str::from_utf8(self.record.as_ref()?).ok()?;
-        let (address, _taken_ms) = text.split_once(' ')?;
+        let (address, _taken_over_ms) = text.split_once(' ')?;
         address.parse().ok()
     }
 }
@@ -174,7 +174,7 @@
     async fn read_records(&self, partition_id: u64, part: &Part) -> Result<Newest, Fault> {
         let fallback_reads = self
             .fallback_partitions(partition_id)
-            .map(|other| self.store.newest(DETOUR_TOPIC, other));
+            .map(|fallback| self.store.newest(DETOUR_TOPIC, fallback));
         let (newest, fallback_reads) = tokio::join!(
             self.store.newest(ALLOWANCE_TOPIC, partition_id),
             futures::future::join_all(fallback_reads),
@@ -186,19 +186,19 @@
             .into_iter()
             .zip(&fallback_reads);
         let fallback_reads =
-            fallback_reads.filter_map(|(other, newest)| Some((other, newest.as_ref().ok()?)));
-        let fallback_reads = fallback_reads.flat_map(|(other, newest)| {
+            fallback_reads.filter_map(|(fallback, newest)| Some((fallback, newest.as_ref().ok()?)));
+        let fallback_reads = fallback_reads.flat_map(|(fallback, newest)| {
             let records = newest.records.iter();
-            records.map(move |record| (other, record))
+            records.map(move |record| (fallback, record))
         });
-        for (other, record) in fallback_reads {
+        for (fallback, record) in fallback_reads {
             let (Some(value), true) = (&record.value, self.part_of(&record.key) == partition_id)
             else {
                 continue;
             };
             part.fallback_records
                 .borrow_mut()
-                .insert((other, record.key.clone()));
+                .insert((fallback, record.key.clone()));
             let mut copies = part.copies.borrow_mut();
             let known = copies.entry(record.key.clone());
             let known = known.or_insert((0, Instant::now()));
