--- a/src/gateway/census.rs
+++ b/src/gateway/census.rs
@@ -1,7 +1,7 @@
 //! Which VMs there were lately, and whether this one reaches most of them.
 
 use crate::gateway::peers::{Question, Reply};
-use crate::gateway::tokens::part::Part;
+use crate::gateway::tokens::partition::Part;
 use crate::gateway::{Gateway, peers};
 use crate::id::Vm;
 use crate::member::View;
--- a/src/gateway/conversation/mod.rs
+++ b/src/gateway/conversation/mod.rs
@@ -8,11 +8,11 @@
 
 mod assemble;
 mod exchange;
-mod lane;
 mod load;
 mod record;
 mod relay;
 mod sweep;
+mod writer;
 
 pub(super) use exchange::{PATH, serve};
 pub(super) use sweep::run as keep_house;
@@ -23,7 +23,6 @@
 use crate::conversation::{Bucket, Cache, Id, Layout, Pointers, Turn};
 use crate::platform::records::TURN_TOPICS;
 use crate::platform::store::Store;
-use lane::BucketWriter;
 use load::BucketReads;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -32,6 +31,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::Instant;
+use writer::BucketWriter;
 
 /// Time after its last use at which a turn is dropped from memory. It can still be read from the
 /// store.
--- a/src/gateway/conversation/record.rs
+++ b/src/gateway/conversation/record.rs
@@ -163,7 +163,7 @@
             return false;
         }
         let conversations = &self.conversations;
-        let record = [super::lane::turn_record(turn)];
+        let record = [super::writer::turn_record(turn)];
         let store = conversations.store.borrow().clone();
         let writes = conversations
             .layout
--- a/src/gateway/front/mod.rs
+++ b/src/gateway/front/mod.rs
@@ -18,8 +18,8 @@
 use crate::gateway::request::body::Body;
 use crate::gateway::server::link::Links;
 use crate::gateway::tokens::handover::Reason;
-use crate::gateway::tokens::keeper;
-use crate::gateway::tokens::keeper::Keeper;
+use crate::gateway::tokens::partitions;
+use crate::gateway::tokens::partitions::Keeper;
 use crate::gateway::world::contact::Contacts;
 use crate::gateway::world::copy::Copier;
 use crate::gateway::world::sources::Sources;
@@ -226,7 +226,7 @@
     spawn_local(operators::run(Rc::clone(&gateway), operators));
     spawn_local(snapshot::keep(Rc::clone(&gateway)));
     spawn_local(peers::receive(Rc::clone(&gateway)));
-    spawn_local(keeper::keep_house(Rc::clone(&gateway)));
+    spawn_local(partitions::keep_house(Rc::clone(&gateway)));
     spawn_local(conversation::keep_house(Rc::clone(&gateway)));
     let contacts = Rc::clone(&gateway.contacts);
     spawn_local(async move {
--- a/src/gateway/limits/count.rs
+++ b/src/gateway/limits/count.rs
@@ -5,7 +5,7 @@
 use crate::gateway::limits::stall::since;
 use crate::gateway::peers::Reply;
 use crate::gateway::tokens::failover::LATELY;
-use crate::gateway::tokens::part::Part;
+use crate::gateway::tokens::partition::Part;
 use crate::policy::limit::{Bound, Limit, Share};
 use crate::policy::quota::{Quota, Request, Verdict};
 use crate::policy::trust::{CONFIRMED, Origin, Standing};
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -46,7 +46,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use tokens::keeper::Keeper;
+use tokens::partitions::Keeper;
 use tokio::sync::watch;
 use world::contact::Contacts;
 use world::copy::Copier;
--- a/src/gateway/request/job.rs
+++ b/src/gateway/request/job.rs
@@ -2,7 +2,7 @@
 
 use crate::conversation;
 use crate::gateway::Gateway;
-use crate::gateway::tokens::keeper::Allowance;
+use crate::gateway::tokens::partitions::Allowance;
 use crate::gateway::world::directory::Id;
 use crate::gateway::world::table::Route;
 use crate::gateway::world::team::Team;
--- a/src/gateway/tokens/failover.rs
+++ b/src/gateway/tokens/failover.rs
@@ -2,9 +2,9 @@
 
 use crate::gateway::Gateway;
 use crate::gateway::peers::{Question, Reply};
-use crate::gateway::tokens::counter::TAKEOVER_TIMEOUT;
-use crate::gateway::tokens::keeper::STORE_TIMEOUT;
-use crate::gateway::tokens::part::Part;
+use crate::gateway::tokens::owner::TAKEOVER_TIMEOUT;
+use crate::gateway::tokens::partition::Part;
+use crate::gateway::tokens::partitions::STORE_TIMEOUT;
 use crate::id::{Offset, Shard, rendezvous};
 use crate::platform::store::Fault;
 use crate::policy::trust::Origin;
--- a/src/gateway/tokens/detour.rs
+++ b/src/gateway/tokens/fallback.rs
@@ -1,8 +1,8 @@
 //! Records allowances in fallback partitions while their own partition of the store rejects writes.
 
 use crate::gateway::peers::Copy;
-use crate::gateway::tokens::keeper::{Keeper, STORE_TIMEOUT, encode_record};
-use crate::gateway::tokens::part::Part;
+use crate::gateway::tokens::partition::Part;
+use crate::gateway::tokens::partitions::{Keeper, STORE_TIMEOUT, encode_record};
 use crate::platform::records::DETOUR_TOPIC;
 use crate::platform::store::Keyed;
 use crate::telemetry::event;
--- a/src/gateway/tokens/handover.rs
+++ b/src/gateway/tokens/handover.rs
@@ -3,9 +3,9 @@
 
 use crate::gateway::Gateway;
 use crate::gateway::peers::{Peer, Question, Reply};
-use crate::gateway::tokens::counter::TAKEOVER_TIMEOUT;
-use crate::gateway::tokens::keeper::STORE_TIMEOUT;
-use crate::gateway::tokens::part::{Hold, Part};
+use crate::gateway::tokens::owner::TAKEOVER_TIMEOUT;
+use crate::gateway::tokens::partition::{Hold, Part};
+use crate::gateway::tokens::partitions::STORE_TIMEOUT;
 use crate::policy::allowance::Entry;
 use crate::policy::trust::Origin;
 use crate::telemetry::event;
--- a/src/gateway/tokens/mod.rs
+++ b/src/gateway/tokens/mod.rs
@@ -2,16 +2,16 @@
 //! are handed out.
 //!
 //! A turn reserves tokens through `reserve`. The VM that owns the program's partition answers in
-//! `counter` and records allowances through `keeper`. The other modules handle changes of ownership
+//! `owner` and records allowances through `partitions`. The other modules handle changes of ownership
 //! and times in which the store or a VM is unavailable.
 
-pub(crate) mod copies;
-pub(crate) mod counter;
-pub(crate) mod detour;
 pub(crate) mod failover;
+pub(crate) mod fallback;
 pub(crate) mod handover;
-pub(crate) mod keeper;
-pub(crate) mod part;
+pub(crate) mod owner;
+pub(crate) mod partition;
+pub(crate) mod partitions;
 pub(crate) mod reach;
+pub(crate) mod replicas;
 pub(crate) mod reserve;
 pub(crate) mod takeover;
--- a/src/gateway/tokens/counter.rs
+++ b/src/gateway/tokens/owner.rs
@@ -1,8 +1,8 @@
 //! Handles messages of other VMs, and reserves tokens in partitions that this VM owns.
 
 use crate::gateway::peers::{Asked, Copy, Note, Peer, Question, Reply};
-use crate::gateway::tokens::keeper::STORE_TIMEOUT;
-use crate::gateway::tokens::part::Part;
+use crate::gateway::tokens::partition::Part;
+use crate::gateway::tokens::partitions::STORE_TIMEOUT;
 use crate::gateway::{Gateway, peers};
 use crate::id::{Shard, rendezvous};
 use crate::policy::allowance::{Reservation, Turn, Verdict};
--- a/src/gateway/tokens/keeper.rs
+++ b/src/gateway/tokens/partitions.rs
@@ -7,7 +7,7 @@
 
 use crate::clock;
 use crate::gateway::peers::Copy;
-use crate::gateway::tokens::part::{Hold, Part};
+use crate::gateway::tokens::partition::{Hold, Part};
 use crate::gateway::{Gateway, peers};
 use crate::id::{Epoch, Shard};
 use crate::platform::records::ALLOWANCE_TOPIC;
--- a/src/gateway/tokens/copies.rs
+++ b/src/gateway/tokens/replicas.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::Gateway;
 use crate::gateway::peers::{Copy, Note, Question, Reply};
-use crate::gateway::tokens::part::Part;
+use crate::gateway::tokens::partition::Part;
 use crate::telemetry::event;
 use std::time::Duration;
 use tokio::time::timeout;
--- a/src/gateway/tokens/reserve.rs
+++ b/src/gateway/tokens/reserve.rs
@@ -2,7 +2,7 @@
 
 use crate::code::{Code, Failure};
 use crate::gateway::peers::{Note, Question, Reply};
-use crate::gateway::tokens::keeper::Allowance;
+use crate::gateway::tokens::partitions::Allowance;
 use crate::gateway::{Gateway, peers};
 use crate::policy::allowance::Reservation;
 use std::collections::VecDeque;
--- a/src/gateway/tokens/takeover.rs
+++ b/src/gateway/tokens/takeover.rs
@@ -1,10 +1,10 @@
 //! Takes over a partition from its previous owner.
 
 use crate::clock;
-use crate::gateway::tokens::keeper::{
+use crate::gateway::tokens::partition::{Hold, Part};
+use crate::gateway::tokens::partitions::{
     HEARTBEAT_KEY, INTERNAL_KEY_PREFIX, Keeper, PROGRAM_IDLE_TIMEOUT, decode_value, writer,
 };
-use crate::gateway::tokens::part::{Hold, Part};
 use crate::id::Offset;
 use crate::platform::records::{ALLOWANCE_TOPIC, DETOUR_TOPIC};
 use crate::platform::store::{Fault, Keyed, Newest, Writer};
