--- a/src/gateway/census.rs
+++ b/src/gateway/census.rs
@@ -1,7 +1,7 @@
 //! Which VMs there were lately, and whether this one reaches most of them.
 
 use crate::gateway::peers::{Question, Reply};
-use crate::gateway::tokens::partition::Part;
+use crate::gateway::tokens::partition::Partition;
 use crate::gateway::{Gateway, peers};
 use crate::id::Vm;
 use crate::member::View;
@@ -91,8 +91,8 @@
     ///
     /// After a cut a VM may reach most others before it learns that the store has shut it out: another VM counts
     /// the partition by then, and a program would get the same tokens from both.
-    pub(crate) async fn others_have_store(&self, part: &Part) -> bool {
-        let Some(failing) = part.failing.get() else {
+    pub(crate) async fn others_have_store(&self, part: &Partition) -> bool {
+        let Some(failing) = part.failing_since.get() else {
             return false;
         };
         let heard = self.answers().await.store_heard;
@@ -105,7 +105,7 @@
         if let Some(answers) = newest.filter(|answers| answers.at.elapsed() < FRESH) {
             return answers;
         }
-        let sample = self.census.sample(self.address());
+        let sample = self.census.sample(self.peer_address());
         let asks = sample.iter().map(|peer| async move {
             let reply = timeout(ANSWER, self.peers.ask(*peer, &Question::Heard)).await;
             reply.ok().flatten()
--- a/src/gateway/conversation/assemble.rs
+++ b/src/gateway/conversation/assemble.rs
@@ -27,7 +27,7 @@
     /// # Errors
     /// [`Code::UnknownTurn`] if a turn does not exist, [`Code::HistoryAway`] if that can't be
     /// determined at the moment, [`Code::TooLarge`] if the conversation exceeds the size limit.
-    pub(crate) async fn history(self: &Rc<Self>, last: &Id) -> Result<Vec<Rc<Turn>>, Failure> {
+    pub(crate) async fn load_history(self: &Rc<Self>, last: &Id) -> Result<Vec<Rc<Turn>>, Failure> {
         let conversations = &self.conversations;
         for _ in 0..MAX_FETCHES {
             let walk =
@@ -94,7 +94,7 @@
                 Some(Reply::NoTurn) => return Lookup::NotFound,
                 _ => return Lookup::Unknown,
             };
-            if holder == self.address() {
+            if holder == self.peer_address() {
                 // Another VM named this one, which may have dropped the turn since.
                 if self.conversations.find_cached(id).is_some() {
                     return Lookup::Cached;
--- a/src/gateway/conversation/exchange.rs
+++ b/src/gateway/conversation/exchange.rs
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 
 /// HTTP path of these messages.
-pub(in crate::gateway) const PATH: &str = "/turns";
+pub(in crate::gateway) const TURNS_PATH: &str = "/turns";
 /// Time limit of one exchange, connecting included.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Turns are added to an answer until this size is exceeded.
@@ -80,7 +80,7 @@
     pub(super) async fn exchange(&self, peer: SocketAddr, message: &Message) -> Option<Answer> {
         let client = &self.conversations.exchange_client;
         let port = self.settings.listen.operators.port();
-        let url = format!("http://{}{PATH}", SocketAddr::new(peer.ip(), port));
+        let url = format!("http://{}{TURNS_PATH}", SocketAddr::new(peer.ip(), port));
         let http = client.http.borrow().clone();
         let sent = http.post(url).body(client.sealer.seal(message)).send();
         let reply = async { sent.await?.error_for_status()?.bytes().await };
--- a/src/gateway/conversation/load.rs
+++ b/src/gateway/conversation/load.rs
@@ -149,7 +149,7 @@
     pub(crate) async fn locate(&self, id: &Id, lost: Option<SocketAddr>) -> Reply {
         let conversations = &self.conversations;
         if conversations.find_cached(id).is_some() {
-            return Reply::HeldAt(self.address());
+            return Reply::HeldAt(self.peer_address());
         }
         let known_holder = conversations.pointers.borrow().get(id);
         if let Some(holder) = known_holder.filter(|holder| Some(*holder) != lost) {
@@ -159,7 +159,7 @@
             conversations.pointers.borrow_mut().remove(id);
         }
         match conversations.find_in_store(id).await {
-            Ok(true) => return Reply::HeldAt(self.address()),
+            Ok(true) => return Reply::HeldAt(self.peer_address()),
             Ok(false) => {}
             Err(fault) => {
                 event!(info, "turn_unlocated", turn = id, reason = fault);
--- a/src/gateway/conversation/mod.rs
+++ b/src/gateway/conversation/mod.rs
@@ -3,8 +3,8 @@
 //! The VM that serves a turn records it at the store before its answer ends, and caches it in
 //! memory. The turn's home VMs, found by hashing its identity, are told which VM has it. The VM
 //! that serves the next turn asks a home VM; a home VM that does not know the turn reads the turn's
-//! bucket from the store. Requests call [`Gateway::history`] before they are sent and
-//! [`Gateway::keep_turn`] after their last event.
+//! bucket from the store. Requests call [`Gateway::load_history`] before they are sent and
+//! [`Gateway::persist_turn`] after their last event.
 
 mod assemble;
 mod exchange;
@@ -14,8 +14,8 @@
 mod sweep;
 mod writer;
 
-pub(super) use exchange::{PATH, serve};
-pub(super) use sweep::run as keep_house;
+pub(super) use exchange::{TURNS_PATH, serve};
+pub(super) use sweep::run as run_maintenance;
 
 use super::Gateway;
 use super::peers::Peer;
@@ -41,7 +41,7 @@
 const MAX_HISTORY_BYTES: usize = 4 << 20;
 /// Limit on the input of one turn. Input and answer together have to fit into a record of the
 /// store.
-pub(super) const INPUT_BYTES: usize = 160_000;
+pub(super) const MAX_INPUT_BYTES: usize = 160_000;
 /// Limit on input and answer of one turn; the store takes records of up to 256 KB.
 const MAX_TURN_BYTES: usize = 250_000;
 /// How long a turn is kept if its route sets no time.
@@ -102,7 +102,7 @@
     }
 
     /// Counts a write that failed or timed out.
-    fn note_store_failure(&self) {
+    fn record_store_failure(&self) {
         self.consecutive_failures
             .set(self.consecutive_failures.get().saturating_add(1));
     }
@@ -112,7 +112,7 @@
         self.cache.borrow_mut().get(Instant::now(), id)
     }
 
-    pub(super) fn size(&self) -> Sizes {
+    pub(super) fn usage(&self) -> Sizes {
         let writers = self.writers.borrow();
         let cache = self.cache.borrow();
         Sizes {
--- a/src/gateway/conversation/record.rs
+++ b/src/gateway/conversation/record.rs
@@ -58,7 +58,7 @@
     /// If an answer ended before the store has its turn, the loss of all VMs could lose the turn.
     /// While the store is unavailable the end of the answer waits, at most until the caller's
     /// deadline; all other events have been sent already.
-    pub(crate) async fn keep_turn(self: &Rc<Self>, job: &Job, transcript: Transcript) -> bool {
+    pub(crate) async fn persist_turn(self: &Rc<Self>, job: &Job, transcript: Transcript) -> bool {
         let Ok(id) = job.meta.turn.parse::<Id>() else {
             // No caller can refer to the turn.
             return true;
@@ -130,7 +130,7 @@
         {
             return RecordedVia::Store;
         }
-        conversations.note_store_failure();
+        conversations.record_store_failure();
         let fallback = async {
             let mut round = 0;
             loop {
--- a/src/gateway/conversation/writer.rs
+++ b/src/gateway/conversation/writer.rs
@@ -71,11 +71,11 @@
                 Ok(()) => {
                     writer.outbox.borrow_mut().recorded(&batch);
                     writer.written.notify_waiters();
-                    self.note_store_success(&writer, bucket);
+                    self.record_store_success(&writer, bucket);
                     delay = RETRY_BACKOFF.0;
                 }
                 Err(fault) => {
-                    self.note_store_failure();
+                    self.record_store_failure();
                     if !writer.failing.replace(true) {
                         event!(warn, "turns_stuck", bucket = bucket, reason = fault);
                     }
@@ -86,7 +86,7 @@
         }
     }
 
-    fn note_store_success(&self, writer: &BucketWriter, bucket: Bucket) {
+    fn record_store_success(&self, writer: &BucketWriter, bucket: Bucket) {
         self.consecutive_failures.set(0);
         self.store_recovered.notify_waiters();
         if writer.failing.replace(false) {
--- a/src/gateway/front/housekeeping.rs
+++ b/src/gateway/front/housekeeping.rs
@@ -66,15 +66,15 @@
         gateway.expire_leases();
         // Whether a VM has the store is not told to all: when it refuses everybody, each VM would have news for all
         // others at once, and their views would differ for seconds.
-        let (ready, held) = (gateway.takes_part(), gateway.keeper.claims());
+        let (ready, held) = (gateway.takes_part(), gateway.keeper.ownership_claims());
         let applied = gateway.applied();
         beats.send_if_modified(|beat| {
             let changed = (beat.ready, beat.applied) != (ready, applied) || beat.held != held;
             (beat.ready, beat.applied, beat.held) = (ready, applied, held);
             changed
         });
-        gateway.tell_orphans().await;
-        gateway.yield_claimed();
+        gateway.broadcast_orphaned_allowances().await;
+        gateway.release_superseded_partitions();
         let away = !gateway.has_store();
         lost = away.then(|| lost.unwrap_or_else(Instant::now));
         if let Some(since) = lost.filter(|since| since.elapsed() >= LOST)
@@ -82,7 +82,7 @@
         {
             let (gateway, handing) = (Rc::clone(&gateway), Rc::clone(&handing));
             spawn_local(async move {
-                gateway.hand_over(Reason::Lost(since)).await;
+                gateway.hand_over_partitions(Reason::StoreLost(since)).await;
                 sleep(LOST).await;
                 handing.set(false);
             });
--- a/src/gateway/front/mod.rs
+++ b/src/gateway/front/mod.rs
@@ -19,7 +19,7 @@
 use crate::gateway::server::link::Links;
 use crate::gateway::tokens::handover::Reason;
 use crate::gateway::tokens::partitions;
-use crate::gateway::tokens::partitions::Keeper;
+use crate::gateway::tokens::partitions::Partitions;
 use crate::gateway::world::contact::Contacts;
 use crate::gateway::world::copy::Copier;
 use crate::gateway::world::sources::Sources;
@@ -183,7 +183,7 @@
     let gateway = Rc::new(Gateway {
         view: outside.view,
         peers: Peers::new(socket, &settings.peer_key),
-        keeper: Rc::new(Keeper::new(
+        keeper: Rc::new(Partitions::new(
             peers,
             settings.store.address,
             settings.store.partitions,
@@ -226,8 +226,8 @@
     spawn_local(operators::run(Rc::clone(&gateway), operators));
     spawn_local(snapshot::keep(Rc::clone(&gateway)));
     spawn_local(peers::receive(Rc::clone(&gateway)));
-    spawn_local(partitions::keep_house(Rc::clone(&gateway)));
-    spawn_local(conversation::keep_house(Rc::clone(&gateway)));
+    spawn_local(partitions::run_maintenance(Rc::clone(&gateway)));
+    spawn_local(conversation::run_maintenance(Rc::clone(&gateway)));
     let contacts = Rc::clone(&gateway.contacts);
     spawn_local(async move {
         let (introduction, others) = (outside.introduction, outside.contacts);
@@ -262,7 +262,7 @@
     event!(info, "stopping", limit_ms = limit.as_millis());
     gateway.stopping.set(true);
     let handing = Rc::clone(gateway);
-    spawn_local(async move { handing.hand_over(Reason::Stopping).await });
+    spawn_local(async move { handing.hand_over_partitions(Reason::Stopping).await });
     sleep(STILL_TAKING.min(limit)).await;
     stop.cancel();
     let rest = limit.saturating_sub(began.elapsed());
--- a/src/gateway/front/operators.rs
+++ b/src/gateway/front/operators.rs
@@ -15,7 +15,7 @@
 /// Answers operators, and VMs that need turns or a copy of the configuration.
 pub(crate) async fn run(gateway: Rc<Gateway>, listener: TcpListener) {
     listen::serve(listener, async move |request| {
-        if request.uri().path() == conversation::PATH {
+        if request.uri().path() == conversation::TURNS_PATH {
             return conversation::serve(Rc::clone(&gateway), request).await;
         }
         if request.uri().path() == contact::PATH {
@@ -57,7 +57,7 @@
     fn state(&self) -> Value {
         let world = self.world.borrow();
         let view = self.view.borrow();
-        let (partitions, programs) = self.keeper.size();
+        let (partitions, programs) = self.keeper.owned_counts();
         let (waiting, places) = self.leases.len();
         let servers = world.directory.iter().map(|entry| {
             json!({
@@ -85,7 +85,7 @@
             "counted": json!({ "partitions": partitions, "programs": programs }),
             "teams": world.table.as_ref().and_then(|table| table.teams.as_ref()).map(Teams::len),
             "limits": self.counted_teams(),
-            "conversations": self.conversations.size(),
+            "conversations": self.conversations.usage(),
             "idle_connections": self.links.len(),
             "members": view.members.values().map(|member| &member.vm).collect::<Vec<_>>(),
             "dropped_log_lines": telemetry::dropped_lines(),
--- a/src/gateway/limits/count.rs
+++ b/src/gateway/limits/count.rs
@@ -4,8 +4,8 @@
 use crate::gateway::Gateway;
 use crate::gateway::limits::stall::since;
 use crate::gateway::peers::Reply;
-use crate::gateway::tokens::failover::LATELY;
-use crate::gateway::tokens::partition::Part;
+use crate::gateway::tokens::failover::STORE_CONTACT_MAX_AGE;
+use crate::gateway::tokens::partition::Partition;
 use crate::policy::limit::{Bound, Limit, Share};
 use crate::policy::quota::{Quota, Request, Verdict};
 use crate::policy::trust::{CONFIRMED, Origin, Standing};
@@ -53,10 +53,10 @@
         take: Take,
         takeover: bool,
     ) -> Reply {
-        let part = self.keeper.part(number);
-        part.settled().await;
-        if part.hold.get().is_none() {
-            let refusal = self.begin_to_count(number, &part, takeover).await;
+        let part = self.keeper.partition(number);
+        part.wait_for_handover().await;
+        if part.ownership.get().is_none() {
+            let refusal = self.take_ownership(number, &part, takeover).await;
             if let Some(refusal) = refusal
                 && !(takeover && self.stands_in(number).await)
             {
@@ -77,7 +77,7 @@
     /// With a third of the VMs cut off, tools of programs that came through them were refused for as long as that
     /// lasted, though limits allow for some counters that know nothing of each other.
     async fn stands_in(&self, number: u64) -> bool {
-        let counted = self.claimed(number);
+        let counted = self.claimed_owner(number);
         let counted = counted.filter(|other| other.vm != self.settings.vm);
         if counted.is_some_and(|other| !self.peers.is_silent(other.address)) {
             return false;
@@ -85,10 +85,14 @@
         if !self.reaches_most().await {
             return true;
         }
-        !self.has_store() && self.reaching_store(number, LATELY).await.is_empty()
+        !self.has_store()
+            && self
+                .peers_reaching_store(number, STORE_CONTACT_MAX_AGE)
+                .await
+                .is_empty()
     }
 
-    fn grant(&self, number: u64, part: &Part, take: &Take, share: Share) -> Reply {
+    fn grant(&self, number: u64, part: &Partition, take: &Take, share: Share) -> Reply {
         let epoch = part.epoch().unwrap_or(STANDING_IN);
         let now = Instant::now();
         let limit = self.limit_of(take);
@@ -139,9 +143,9 @@
     }
 
     /// When this VM begins to grant requests of a partition that it counts since `now`.
-    fn begins_to_grant(&self, part: &Part, now: Instant) -> Instant {
+    fn begins_to_grant(&self, part: &Partition, now: Instant) -> Instant {
         let window = self.limit_bound().window;
-        origin(part, now).begins(now, self.keeper.began, window)
+        origin(part, now).begins(now, self.keeper.started_at, window)
     }
 
     /// The limit of a team, by the newer one of two configurations.
@@ -163,7 +167,7 @@
     }
 
     /// How much of each limit this VM may grant of a partition that it counts.
-    async fn share(&self, part: &Part) -> Share {
+    async fn share(&self, part: &Partition) -> Share {
         self.counting.stall.look();
         let confirmed = Self::confirmed_ago(part);
         let reach = if confirmed < CONFIRMED {
@@ -182,16 +186,19 @@
     }
 
     /// How long ago the store last confirmed that this VM has a partition.
-    fn confirmed_ago(part: &Part) -> Duration {
+    fn confirmed_ago(part: &Partition) -> Duration {
         let now = (Instant::now(), clock::wall_ms());
-        let confirmed = part.confirmed.get().filter(|_| part.hold.get().is_some());
+        let confirmed = part
+            .last_confirmed_write
+            .get()
+            .filter(|_| part.ownership.get().is_some());
         confirmed.map_or(Duration::MAX, |confirmed| since(confirmed, now))
     }
 
     /// The teams that this VM counts and that used most lately, for a person.
     pub(crate) fn counted_teams(&self) -> Vec<Value> {
         let mut counted = Vec::new();
-        for (number, part) in self.keeper.held() {
+        for (number, part) in self.keeper.owned() {
             let teams = part.teams.borrow();
             let rows = teams.quotas.iter().map(|(name, quota)| {
                 let row = json!({
@@ -214,10 +221,10 @@
 }
 
 /// How this VM came by what it counts.
-fn origin(part: &Part, now: Instant) -> Origin {
+fn origin(part: &Partition, now: Instant) -> Origin {
     // Nobody can take a partition that is counted without a hold, and whoever has it may live unseen.
     let unseen = Origin::Silent(now);
-    part.hold.get().map_or(unseen, |hold| hold.origin)
+    part.ownership.get().map_or(unseen, |hold| hold.origin)
 }
 
 fn millis(time: Duration) -> u64 {
--- a/src/gateway/limits/take.rs
+++ b/src/gateway/limits/take.rs
@@ -27,7 +27,7 @@
         let Some(limit) = team.limit else {
             return Ok(Duration::ZERO);
         };
-        let part = self.keeper.part_of(&format!("team/{}", team.name));
+        let part = self.keeper.partition_of(&format!("team/{}", team.name));
         let take = Take {
             team: team.name.to_string(),
             limit,
@@ -41,7 +41,7 @@
             take: take.clone(),
             takeover,
         };
-        match self.ask_counting(part, question).await {
+        match self.ask_owner(part, question).await {
             Some((Reply::Admitted { wait_ms }, _)) => Ok(Duration::from_millis(wait_ms)),
             Some((Reply::OverLimit { retry_ms }, _)) => {
                 self.metrics.over_limit(&team.name);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -46,7 +46,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use tokens::partitions::Keeper;
+use tokens::partitions::Partitions;
 use tokio::sync::watch;
 use world::contact::Contacts;
 use world::copy::Copier;
@@ -67,7 +67,7 @@
     world: watch::Receiver<World>,
     view: watch::Receiver<Arc<View>>,
     peers: Peers,
-    keeper: Rc<Keeper>,
+    keeper: Rc<Partitions>,
     counting: Counting,
     census: Census,
     conversations: Rc<Conversations>,
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -336,7 +336,7 @@
         };
         match gateway.peers.sealer.open(&buffer[..size]) {
             Some(Packet::Reply(number, reply)) => gateway.peers.answered(number, reply),
-            Some(Packet::Note(note)) => gateway.noted(from, note).await,
+            Some(Packet::Note(note)) => gateway.handle_note(from, note).await,
             Some(Packet::Question(number, question)) => {
                 tokio::task::spawn_local(work(Rc::clone(&gateway), from, number, question));
             }
@@ -350,7 +350,7 @@
     if !peers.working.borrow_mut().insert((from, number)) {
         return peers.tell_working((from, number)).await;
     }
-    let reply = gateway.answer((from, number), question).await;
+    let reply = gateway.handle_question((from, number), question).await;
     peers.working.borrow_mut().remove(&(from, number));
     peers.send(from, &Packet::Reply(number, reply)).await;
 }
--- a/src/gateway/request/admit.rs
+++ b/src/gateway/request/admit.rs
@@ -5,7 +5,7 @@
 use crate::code::{Code, Failure};
 use crate::conversation;
 use crate::gateway::Gateway;
-use crate::gateway::conversation::INPUT_BYTES;
+use crate::gateway::conversation::MAX_INPUT_BYTES;
 use crate::gateway::world::table::Route;
 use crate::platform::headers::{self, Meta};
 use bytes::Bytes;
@@ -129,7 +129,7 @@
         let failure = Failure::refused(Code::HistoryAway, "a kept turn begins at its first event");
         return Err(failure.retry_after(AT_ONCE));
     }
-    if input.len() > INPUT_BYTES {
+    if input.len() > MAX_INPUT_BYTES {
         let failure = Failure::refused(Code::TooLarge, "the turn is larger than can be kept");
         return Err(failure);
     }
--- a/src/gateway/request/job.rs
+++ b/src/gateway/request/job.rs
@@ -2,7 +2,7 @@
 
 use crate::conversation;
 use crate::gateway::Gateway;
-use crate::gateway::tokens::partitions::Allowance;
+use crate::gateway::tokens::partitions::Grant;
 use crate::gateway::world::directory::Id;
 use crate::gateway::world::table::Route;
 use crate::gateway::world::team::Team;
@@ -42,7 +42,7 @@
     /// Tokens of one event, where its service generates them.
     pub(crate) tokens_per_event: u64,
     /// What the program allows this turn to generate.
-    pub(crate) allowance: RefCell<Option<Allowance>>,
+    pub(crate) allowance: RefCell<Option<Grant>>,
     /// The servers that it was sent to, in this order.
     pub(crate) servers: RefCell<Vec<Id>>,
     /// How long it waited for places at servers.
@@ -139,6 +139,6 @@
         };
         let used = self.events.get() * self.tokens_per_event;
         let gateway = Rc::clone(&self.gateway);
-        tokio::task::spawn_local(async move { gateway.settle(allowance, used).await });
+        tokio::task::spawn_local(async move { gateway.settle_tokens(allowance, used).await });
     }
 }
--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -151,7 +151,7 @@
         return Ok(());
     };
     let began = Instant::now();
-    let turns = job.gateway.history(prev).await;
+    let turns = job.gateway.load_history(prev).await;
     job.assembled.set(began.elapsed());
     job.gateway.metrics.assembled(began.elapsed());
     job.body.replace(prompt(&turns?, &job.input));
@@ -192,7 +192,7 @@
     let events = job.meta.most_tokens.div_ceil(job.tokens_per_event);
     let most = events * job.tokens_per_event;
     let began = Instant::now();
-    let allowance = job.gateway.reserve(program, budget, most).await;
+    let allowance = job.gateway.reserve_tokens(program, budget, most).await;
     job.allowed.set(began.elapsed());
     job.gateway.metrics.allowed(began.elapsed());
     let allowance = allowance?;
@@ -207,7 +207,7 @@
     Ask {
         service: Arc::clone(&job.service),
         zone: job.gateway.zone(),
-        vm: job.gateway.number(),
+        vm: job.gateway.vm_number(),
         rank: job.rank(),
         program: job.meta.program.as_ref().map(|program| hash(program)),
         turns: allowance.as_ref().map_or(0, |allowance| allowance.turns),
--- a/src/gateway/request/stream.rs
+++ b/src/gateway/request/stream.rs
@@ -186,7 +186,7 @@
     let Some(said) = said else {
         return true;
     };
-    job.gateway.keep_turn(job, said).await
+    job.gateway.persist_turn(job, said).await
 }
 
 fn log_resume(job: &Job, server: &str, reason: &str, attempt: &Attempt, last: Option<u64>) {
--- a/src/gateway/tokens/failover.rs
+++ b/src/gateway/tokens/failover.rs
@@ -3,7 +3,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::peers::{Question, Reply};
 use crate::gateway::tokens::owner::TAKEOVER_TIMEOUT;
-use crate::gateway::tokens::partition::Part;
+use crate::gateway::tokens::partition::Partition;
 use crate::gateway::tokens::partitions::STORE_TIMEOUT;
 use crate::id::{Offset, Shard, rendezvous};
 use crate::platform::store::Fault;
@@ -20,7 +20,7 @@
 /// Attempts to take over a partition that is written to meanwhile.
 const MAX_ATTEMPTS: usize = 3;
 /// How recently the store must have answered a VM for it to count as reaching the store.
-pub(crate) const LATELY: Duration = Duration::from_millis(1200);
+pub(crate) const STORE_CONTACT_MAX_AGE: Duration = Duration::from_millis(1200);
 
 /// Result of an attempt to take a partition over at the store.
 enum TakeoverResult {
@@ -37,35 +37,40 @@
     /// The VM named by the newest owner record keeps the partition until it stops answering or says
     /// that it is not the owner. Membership views alone are not enough: after many VMs start or
     /// lose power they differ for seconds.
-    pub(crate) async fn begin_to_count(
+    pub(crate) async fn take_ownership(
         self: &Rc<Self>,
         partition_id: u64,
-        part: &Rc<Part>,
+        partition: &Rc<Partition>,
         takeover: bool,
     ) -> Option<Reply> {
-        let lost_recently = part
+        let lost_recently = partition
             .ownership_ended
             .get()
             .is_some_and(|at| at.elapsed() < RETAKE_DELAY);
         if lost_recently {
-            return Some(part.successor.get().map_or(Reply::NotOwner, Reply::Taken));
+            return Some(
+                partition
+                    .successor
+                    .get()
+                    .map_or(Reply::NotOwner, Reply::Taken),
+            );
         }
-        let expected_owner = self.claimed(partition_id);
+        let expected_owner = self.claimed_owner(partition_id);
         let expected_owner =
-            expected_owner.or_else(|| self.counters(partition_id).into_iter().next());
+            expected_owner.or_else(|| self.owner_candidates(partition_id).into_iter().next());
         if !takeover && expected_owner.is_some_and(|other| other.vm != self.settings.vm) {
             return Some(Reply::NotOwner);
         }
         if self.keeper.skips_store() {
             // The rest would wait for the store.
-            return self.take_over_without_store(partition_id, part).await;
+            return self.take_over_without_store(partition_id, partition).await;
         }
-        match self.take_over_at_store(partition_id, part).await {
+        match self.take_over_at_store(partition_id, partition).await {
             TakeoverResult::Done => None,
             TakeoverResult::OwnedBy(other) => Some(Reply::Taken(other)),
             TakeoverResult::Failed => {
-                self.keeper.note_store_result(false);
-                self.take_over_without_store(partition_id, part).await
+                self.keeper.record_store_result(false);
+                self.take_over_without_store(partition_id, partition).await
             }
         }
     }
@@ -74,7 +79,7 @@
     async fn take_over_at_store(
         self: &Rc<Self>,
         partition_id: u64,
-        part: &Rc<Part>,
+        partition: &Rc<Partition>,
     ) -> TakeoverResult {
         let store_timeout = if self.has_store() {
             TAKEOVER_TIMEOUT
@@ -89,7 +94,7 @@
             };
             let origin = match owner.address() {
                 None if owner.is_absent() => Origin::First,
-                Some(other) if part.hold.get().is_none() => {
+                Some(other) if partition.ownership.get().is_none() => {
                     match self.still_owns(partition_id, other).await {
                         Some(true) => return TakeoverResult::OwnedBy(other),
                         Some(false) => Origin::GivenUp,
@@ -101,8 +106,12 @@
             };
             // Runs as its own task: if this request times out, the takeover still completes for the
             // next one.
-            let takeover =
-                Rc::clone(self).complete_takeover(partition_id, Rc::clone(part), owner.end, origin);
+            let takeover = Rc::clone(self).complete_takeover(
+                partition_id,
+                Rc::clone(partition),
+                owner.end,
+                origin,
+            );
             let takeover = tokio::task::spawn_local(takeover);
             match timeout(store_timeout, takeover).await {
                 Ok(Ok(Ok(()))) => return TakeoverResult::Done,
@@ -118,23 +127,23 @@
     async fn complete_takeover(
         self: Rc<Self>,
         partition_id: u64,
-        part: Rc<Part>,
+        partition: Rc<Partition>,
         end: Offset,
         origin: Origin,
     ) -> Result<(), Fault> {
         let oldest_uptime_ms = self.collect_copies(partition_id).await;
-        part.oldest_uptime_ms.set(oldest_uptime_ms);
+        partition.oldest_uptime_ms.set(oldest_uptime_ms);
         let result = self
             .keeper
-            .take_over(partition_id, &part, Some(end), origin)
+            .take_over(partition_id, &partition, Some(end), origin)
             .await;
-        Rc::clone(&self.keeper).start_writer(partition_id, part);
+        Rc::clone(&self.keeper).start_writer(partition_id, partition);
         result
     }
 
     /// Whether `owner` still owns the partition; none if it does not answer.
     async fn still_owns(&self, partition_id: u64, owner: SocketAddr) -> Option<bool> {
-        if owner == self.address() {
+        if owner == self.peer_address() {
             return Some(false);
         }
         if self.peers.is_silent(owner) {
@@ -150,18 +159,26 @@
     ///
     /// Refuses while another VM reaches the store: that VM takes the partition over there, and both
     /// would grant the same tokens.
-    async fn take_over_without_store(&self, partition_id: u64, part: &Part) -> Option<Reply> {
-        if part.hold.get().is_some() {
+    async fn take_over_without_store(
+        &self,
+        partition_id: u64,
+        partition: &Partition,
+    ) -> Option<Reply> {
+        if partition.ownership.get().is_some() {
             return None;
         }
-        if !self.reaches_most().await || !self.reaching_store(partition_id, LATELY).await.is_empty()
+        if !self.reaches_most().await
+            || !self
+                .peers_reaching_store(partition_id, STORE_CONTACT_MAX_AGE)
+                .await
+                .is_empty()
         {
             return Some(Reply::Away);
         }
         self.collect_copies(partition_id).await;
-        let taken = part.hold.get().is_some()
+        let taken = partition.ownership.get().is_some()
             || self.is_first_candidate(partition_id)
-                && self.keeper.take_over_from_copies(partition_id, part);
+                && self.keeper.take_over_from_copies(partition_id, partition);
         (!taken).then_some(Reply::Away)
     }
 
--- a/src/gateway/tokens/fallback.rs
+++ b/src/gateway/tokens/fallback.rs
@@ -1,15 +1,15 @@
 //! Records allowances in fallback partitions while their own partition of the store rejects writes.
 
 use crate::gateway::peers::Copy;
-use crate::gateway::tokens::partition::Part;
-use crate::gateway::tokens::partitions::{Keeper, STORE_TIMEOUT, encode_record};
+use crate::gateway::tokens::partition::Partition;
+use crate::gateway::tokens::partitions::{Partitions, STORE_TIMEOUT, encode_record};
 use crate::platform::records::DETOUR_TOPIC;
 use crate::platform::store::Keyed;
 use crate::telemetry::event;
 use futures::future::select_ok;
 use tokio::time::timeout;
 
-impl Keeper {
+impl Partitions {
     /// Records an allowance in a fallback partition while its own partition is unavailable.
     ///
     /// The store may lose some of its partitions and serve the rest. Copies in memory would not
@@ -17,7 +17,7 @@
     pub(crate) async fn record_in_fallback_partition(
         &self,
         partition_id: u64,
-        part: &Part,
+        partition: &Partition,
         copy: &Copy,
     ) -> bool {
         if self.skips_store() {
@@ -31,15 +31,15 @@
         });
         let written = timeout(STORE_TIMEOUT, select_ok(writes)).await;
         let Ok(Ok((fallback, _))) = written else {
-            self.note_store_result(false);
+            self.record_store_result(false);
             return false;
         };
-        self.note_store_result(true);
+        self.record_store_result(true);
         // The other writes may take effect as well.
         let possible = self
             .fallback_partitions(partition_id)
             .map(|fallback| (fallback, copy.program.clone()));
-        part.fallback_records.borrow_mut().extend(possible);
+        partition.fallback_records.borrow_mut().extend(possible);
         event!(
             info,
             "allowance_detoured",
@@ -58,12 +58,12 @@
     pub(crate) async fn drop_fallback_records(
         &self,
         partition_id: u64,
-        part: &Part,
+        partition: &Partition,
         expired: &[Keyed],
     ) {
         for fallback in self.fallback_partitions(partition_id) {
             let records: Vec<Keyed> = {
-                let mut fallback_records = part.fallback_records.borrow_mut();
+                let mut fallback_records = partition.fallback_records.borrow_mut();
                 let remove_tracked =
                     |record: &&Keyed| fallback_records.remove(&(fallback, record.key.clone()));
                 expired.iter().filter(remove_tracked).cloned().collect()
--- a/src/gateway/tokens/handover.rs
+++ b/src/gateway/tokens/handover.rs
@@ -4,7 +4,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::peers::{Peer, Question, Reply};
 use crate::gateway::tokens::owner::TAKEOVER_TIMEOUT;
-use crate::gateway::tokens::partition::{Hold, Part};
+use crate::gateway::tokens::partition::{Ownership, Partition};
 use crate::gateway::tokens::partitions::STORE_TIMEOUT;
 use crate::policy::allowance::Entry;
 use crate::policy::trust::Origin;
@@ -24,7 +24,7 @@
     /// The VM is about to exit.
     Stopping,
     /// The VM has not reached the store since this time.
-    Lost(Instant),
+    StoreLost(Instant),
 }
 
 fn log_kept(partition_id: u64, reason: &'static str) {
@@ -42,9 +42,9 @@
     /// A VM that alone has lost the store can only grant allowances copied to other VMs. If all VMs
     /// then lost power, the same tokens would be granted again. If all VMs have lost the store, the
     /// partitions stay: the others can't write records either.
-    pub(crate) async fn hand_over(&self, reason: Reason) {
+    pub(crate) async fn hand_over_partitions(&self, reason: Reason) {
         let mut store_checked = reason == Reason::Stopping;
-        for (partition_id, part) in self.keeper.held() {
+        for (partition_id, partition) in self.keeper.owned() {
             let Some(successor) = self.choose_successor(partition_id, reason).await else {
                 return log_kept(partition_id, "no VM reaches the store");
             };
@@ -53,7 +53,7 @@
             {
                 return log_kept(partition_id, "the store is back");
             }
-            self.hand_over_partition(partition_id, &part, &successor, reason)
+            self.hand_over_partition(partition_id, &partition, &successor, reason)
                 .await;
         }
     }
@@ -75,8 +75,10 @@
     async fn choose_successor(&self, partition_id: u64, reason: Reason) -> Option<Peer> {
         match reason {
             Reason::Stopping => self.next_candidate(partition_id),
-            Reason::Lost(since) => {
-                let mut candidates = self.reaching_store(partition_id, since.elapsed()).await;
+            Reason::StoreLost(since) => {
+                let mut candidates = self
+                    .peers_reaching_store(partition_id, since.elapsed())
+                    .await;
                 (!candidates.is_empty()).then(|| candidates.swap_remove(0))
             }
         }
@@ -85,32 +87,38 @@
     async fn hand_over_partition(
         &self,
         partition_id: u64,
-        part: &Part,
+        partition: &Partition,
         successor: &Peer,
         reason: Reason,
     ) {
-        let Some(hold) = part.hold.take() else {
+        let Some(ownership) = partition.ownership.take() else {
             return;
         };
-        part.handover_in_progress.set(true);
-        part.record_written.notify_waiters();
-        let entries = part.export_entries();
-        part.successor.set(Some(successor.address));
+        partition.handover_in_progress.set(true);
+        partition.record_written.notify_waiters();
+        let entries = partition.export_entries();
+        partition.successor.set(Some(successor.address));
         let complete = self
-            .send_entries(partition_id, part, (successor, hold), &entries, reason)
+            .send_entries(
+                partition_id,
+                partition,
+                (successor, ownership),
+                &entries,
+                reason,
+            )
             .await;
         if complete {
-            part.ledger.take();
-            part.pending.take();
-            part.ownership_ended.set(Some(Instant::now()));
+            partition.ledger.take();
+            partition.pending.take();
+            partition.ownership_ended.set(Some(Instant::now()));
         } else {
             // The handover failed. If the other VM owns the partition all the same, the store
             // rejects this VM's writes.
-            part.hold.set(Some(hold));
-            part.successor.set(None);
+            partition.ownership.set(Some(ownership));
+            partition.successor.set(None);
         }
-        part.handover_in_progress.set(false);
-        part.handover_ended.notify_waiters();
+        partition.handover_in_progress.set(false);
+        partition.handover_ended.notify_waiters();
         event!(
             info,
             "allowances_handed_over",
@@ -126,12 +134,12 @@
     async fn send_entries(
         &self,
         partition_id: u64,
-        part: &Part,
-        (next, hold): (&Peer, Hold),
+        partition: &Partition,
+        (next, ownership): (&Peer, Ownership),
         entries: &[(Entry, u64)],
         reason: Reason,
     ) -> bool {
-        let doubtful = part.ledger.borrow().is_doubtful();
+        let doubtful = partition.ledger.borrow().is_doubtful();
         let chunks = entries.len().div_ceil(ENTRIES_PER_DATAGRAM).max(1);
         for index in 0..chunks {
             let chunk = entries
@@ -140,7 +148,7 @@
                 .take(ENTRIES_PER_DATAGRAM);
             let question = Question::Adopt {
                 part: partition_id,
-                epoch: hold.epoch,
+                epoch: ownership.epoch,
                 entries: chunk.cloned().collect(),
                 doubtful,
                 first: index == 0,
@@ -163,19 +171,19 @@
         (first, last): (bool, bool),
         ending: bool,
     ) -> Reply {
-        let part = self.keeper.part(partition_id);
+        let partition = self.keeper.partition(partition_id);
         if first {
             // Discard what an interrupted handover left behind.
-            part.incoming_entries.take();
+            partition.incoming_entries.take();
         }
-        part.incoming_entries.borrow_mut().extend(entries);
+        partition.incoming_entries.borrow_mut().extend(entries);
         if !last {
             return Reply::Kept;
         }
-        let entries = part.incoming_entries.take();
+        let entries = partition.incoming_entries.take();
         let takeover = self
             .keeper
-            .take_over(partition_id, &part, None, Origin::HandedOver);
+            .take_over(partition_id, &partition, None, Origin::HandedOver);
         let taken_over = timeout(TAKEOVER_TIMEOUT, takeover).await;
         let taken_over = matches!(taken_over, Ok(Ok(())));
         if !taken_over && !ending {
@@ -183,22 +191,25 @@
         }
         self.keeper
             .import_partition(partition_id, epoch, entries, taken_over);
-        Rc::clone(&self.keeper).start_writer(partition_id, part);
+        Rc::clone(&self.keeper).start_writer(partition_id, partition);
         Reply::Kept
     }
 
     /// Gives up partitions that another VM has announced under a higher epoch.
-    pub(crate) fn yield_claimed(&self) {
-        for (partition_id, part) in self.keeper.held() {
+    pub(crate) fn release_superseded_partitions(&self) {
+        for (partition_id, partition) in self.keeper.owned() {
             let view = self.view.borrow();
             let others = view.members.values();
             let others = others.filter(|member| member.vm != self.settings.vm);
             let mut claims = others.flat_map(|member| &member.held);
-            let epoch = part.hold.get().map_or(0, |hold| hold.epoch);
+            let epoch = partition
+                .ownership
+                .get()
+                .map_or(0, |ownership| ownership.epoch);
             if claims
                 .any(|(shard, claimed_epoch)| shard.0 == partition_id && claimed_epoch.0 > epoch)
             {
-                self.keeper.lose_ownership(partition_id, &part, epoch);
+                self.keeper.lose_ownership(partition_id, &partition, epoch);
             }
         }
     }
--- a/src/gateway/tokens/owner.rs
+++ b/src/gateway/tokens/owner.rs
@@ -1,7 +1,7 @@
 //! Handles messages of other VMs, and reserves tokens in partitions that this VM owns.
 
 use crate::gateway::peers::{Asked, Copy, Note, Peer, Question, Reply};
-use crate::gateway::tokens::partition::Part;
+use crate::gateway::tokens::partition::Partition;
 use crate::gateway::tokens::partitions::STORE_TIMEOUT;
 use crate::gateway::{Gateway, peers};
 use crate::id::{Shard, rendezvous};
@@ -28,7 +28,7 @@
 
 impl Gateway {
     /// The member that announces ownership of a partition.
-    pub(crate) fn claimed(&self, part: u64) -> Option<Peer> {
+    pub(crate) fn claimed_owner(&self, part: u64) -> Option<Peer> {
         let view = self.view.borrow();
         let owner = view.owner(Shard(part))?;
         Some(Peer {
@@ -40,7 +40,7 @@
 
     /// All VMs in the order in which they should own a partition; VMs that are not ready or do not
     /// answer come last.
-    pub(crate) fn counters(&self, part: u64) -> Vec<Peer> {
+    pub(crate) fn owner_candidates(&self, part: u64) -> Vec<Peer> {
         self.ranked_members(&format!("allowance/{part}"))
     }
 
@@ -67,11 +67,15 @@
 
     /// The VM that should own a partition if this one can't.
     pub(crate) fn next_candidate(&self, part: u64) -> Option<Peer> {
-        let mut others = self.counters(part).into_iter();
+        let mut others = self.owner_candidates(part).into_iter();
         others.find(|peer| peer.vm != self.settings.vm)
     }
 
-    pub(crate) async fn answer(self: &Rc<Self>, asked: Asked, question: Question) -> Reply {
+    pub(crate) async fn handle_question(
+        self: &Rc<Self>,
+        asked: Asked,
+        question: Question,
+    ) -> Reply {
         match question {
             Question::Place(ask) => self.lease_to(asked, ask).await,
             Question::Take {
@@ -101,32 +105,36 @@
                 self.reserve_as_owner(request).await
             }
             Question::Keep(copy) => {
-                let part = self.keeper.part(copy.part);
+                let partition = self.keeper.partition(copy.part);
                 // The asking VM may have been suspended while this one took over, or it counts from
                 // copies while this one reaches the store. Either way another VM may own the
                 // partition, and both would grant the same tokens.
-                let newer = part.hold.get().is_some_and(|hold| hold.epoch > copy.epoch);
+                let newer = partition
+                    .ownership
+                    .get()
+                    .is_some_and(|ownership| ownership.epoch > copy.epoch);
                 if newer || (!copy.fenced && self.has_store()) {
                     self.keeper.merge_copy(copy);
                     return Reply::NotOwner;
                 }
-                part.unrecorded_copies
+                partition
+                    .unrecorded_copies
                     .borrow_mut()
                     .insert(copy.program.clone(), copy.allowed);
                 self.keeper.merge_copy(copy);
                 Reply::Kept
             }
             Question::Counts { part } => {
-                let part = self.keeper.part(part);
-                Reply::Counting(part.is_owned_or_in_transfer())
+                let partition = self.keeper.partition(part);
+                Reply::Counting(partition.is_owned_or_in_transfer())
             }
             Question::Heard => Reply::Heard {
                 ago_ms: self.store_heard_ms(),
             },
             Question::Locate { turn, lost } => self.locate(&turn, lost).await,
             Question::Copies { part } => {
-                let part = self.keeper.part(part);
-                let unrecorded_copies = part.unrecorded_copies.borrow();
+                let partition = self.keeper.partition(part);
+                let unrecorded_copies = partition.unrecorded_copies.borrow();
                 let allowances = unrecorded_copies.iter().take(COPIES_PER_DATAGRAM);
                 let allowances = allowances.map(|(program, allowed)| (program.clone(), *allowed));
                 Reply::Copies {
@@ -144,7 +152,7 @@
                 ending,
             } => {
                 if doubtful {
-                    self.keeper.part(part).ledger.borrow_mut().doubt();
+                    self.keeper.partition(part).ledger.borrow_mut().doubt();
                 }
                 self.receive_handover(part, epoch, entries, (first, last), ending)
                     .await
@@ -153,7 +161,7 @@
     }
 
     /// Handles a message that needs no answer.
-    pub(crate) async fn noted(&self, from: SocketAddr, note: Note) {
+    pub(crate) async fn handle_note(&self, from: SocketAddr, note: Note) {
         match note {
             Note::Left { number, outcome } => self.leases.end(&(from, number), outcome),
             Note::Settled {
@@ -161,7 +169,7 @@
                 reservation,
                 used,
             } => {
-                let successor = self.keeper.part(part).successor.get();
+                let successor = self.keeper.partition(part).successor.get();
                 if let Some(successor) = successor {
                     self.peers.tell(successor, note).await;
                 } else {
@@ -181,48 +189,54 @@
             turn,
             takeover,
         } = request;
-        let part = self.keeper.part(partition_id);
+        let partition = self.keeper.partition(partition_id);
         // Answering `NotOwner` during a handover would leave the caller without any owner.
-        part.settled().await;
-        if part.hold.get().is_none() {
-            let refusal = self.begin_to_count(partition_id, &part, takeover).await;
+        partition.wait_for_handover().await;
+        if partition.ownership.get().is_none() {
+            let refusal = self
+                .take_ownership(partition_id, &partition, takeover)
+                .await;
             if let Some(refusal) = refusal {
                 return refusal;
             }
         }
-        let verdict = part
-            .ledger
-            .borrow_mut()
-            .reserve(Instant::now(), program, reservation, turn);
-        let (turns, total) = part.ledger.borrow().standing(program);
+        let verdict =
+            partition
+                .ledger
+                .borrow_mut()
+                .reserve(Instant::now(), program, reservation, turn);
+        let (turns, total) = partition.ledger.borrow().standing(program);
         if verdict != Verdict::Covered || self.sampler.takes(program) {
             event!(
                 info,
                 "turn_counted",
                 program = program,
                 part = partition_id,
-                epoch = part.hold.get().map_or(0, |hold| hold.epoch),
+                epoch = partition
+                    .ownership
+                    .get()
+                    .map_or(0, |ownership| ownership.epoch),
                 budget = turn.budget,
                 total = total,
-                allowed = part.ledger.borrow().allowed(program),
+                allowed = partition.ledger.borrow().allowed(program),
                 turns = turns,
                 seen = turn.seen,
                 verdict = verdict
             );
         }
-        let epoch = part.hold.get().map(|hold| hold.epoch);
+        let epoch = partition.ownership.get().map(|ownership| ownership.epoch);
         let durable = match verdict {
             Verdict::Spent => return Reply::Spent,
             Verdict::Covered => true,
             Verdict::Record(allowed) => {
-                self.make_durable(partition_id, &part, program, turn, allowed)
+                self.make_durable(partition_id, &partition, program, turn, allowed)
                     .await
             }
         };
         // Another VM may have taken the partition over while the allowance was being made durable.
-        let still_owner = part.hold.get().map(|hold| hold.epoch) == epoch;
+        let still_owner = partition.ownership.get().map(|ownership| ownership.epoch) == epoch;
         // A repeated request for the same reservation may have failed and released it.
-        if !durable || !still_owner || !part.ledger.borrow().is_open(reservation) {
+        if !durable || !still_owner || !partition.ledger.borrow().is_open(reservation) {
             self.keeper.settle(partition_id, reservation, 0);
             return if still_owner {
                 Reply::Unrecorded
@@ -238,28 +252,31 @@
     async fn make_durable(
         self: &Rc<Self>,
         partition_id: u64,
-        part: &Rc<Part>,
+        partition: &Rc<Partition>,
         program: &str,
         turn: Turn,
         allowed: u64,
     ) -> bool {
-        let hold = part.hold.get();
-        part.add_pending(program, allowed);
-        Rc::clone(&self.keeper).start_writer(partition_id, Rc::clone(part));
+        let ownership = partition.ownership.get();
+        partition.add_pending(program, allowed);
+        Rc::clone(&self.keeper).start_writer(partition_id, Rc::clone(partition));
         let durable = async {
             loop {
-                let record_written = part.record_written.notified();
-                if part.ledger.borrow().allowed(program) >= allowed {
+                let record_written = partition.record_written.notified();
+                if partition.ledger.borrow().allowed(program) >= allowed {
                     return true;
                 }
                 // Ownership was lost, so the allowance will not be recorded.
-                if part.hold.get().map(|hold| hold.epoch) != hold.map(|hold| hold.epoch) {
+                if partition.ownership.get().map(|ownership| ownership.epoch)
+                    != ownership.map(|ownership| ownership.epoch)
+                {
                     return false;
                 }
                 record_written.await;
             }
         };
-        let store_timeout = if part.failing.get().is_some() || self.keeper.skips_store() {
+        let store_timeout = if partition.failing_since.get().is_some() || self.keeper.skips_store()
+        {
             Duration::ZERO
         } else {
             STORE_TIMEOUT
@@ -268,8 +285,8 @@
             part: partition_id,
             program: program.to_owned(),
             allowed,
-            epoch: hold.map_or(0, |hold| hold.epoch),
-            fenced: hold.is_some_and(|hold| hold.fenced),
+            epoch: ownership.map_or(0, |ownership| ownership.epoch),
+            fenced: ownership.is_some_and(|ownership| ownership.fenced),
         };
         match timeout(store_timeout, durable).await {
             Ok(recorded) => {
@@ -279,15 +296,15 @@
             Err(_)
                 if self
                     .keeper
-                    .record_in_fallback_partition(partition_id, part, &copy)
+                    .record_in_fallback_partition(partition_id, partition, &copy)
                     .await =>
             {
                 true
             }
             Err(_)
-                if !part.ledger.borrow().bears(program, turn)
+                if !partition.ledger.borrow().bears(program, turn)
                     || !self.reaches_most().await
-                    || self.others_have_store(part).await =>
+                    || self.others_have_store(partition).await =>
             {
                 event!(
                     info,
@@ -298,7 +315,7 @@
                 );
                 false
             }
-            Err(_) => self.replicate_allowance(copy, part).await,
+            Err(_) => self.replicate_allowance(copy, partition).await,
         }
     }
 }
--- a/src/gateway/tokens/partition.rs
+++ b/src/gateway/tokens/partition.rs
@@ -11,7 +11,7 @@
 
 /// This VM's ownership of a partition, as the writer of its records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Hold {
+pub(crate) struct Ownership {
     pub(crate) epoch: u64,
     pub(crate) sequence: u64,
     /// Whether the store has fenced off the previous writer. Nothing can be recorded until it has.
@@ -21,13 +21,13 @@
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Part {
-    pub(crate) hold: Cell<Option<Hold>>,
+pub(crate) struct Partition {
+    pub(crate) ownership: Cell<Option<Ownership>>,
     pub(crate) ledger: RefCell<Ledger>,
     /// Rate-limit counters of the teams that hash to this partition.
     pub(crate) teams: RefCell<Counted>,
     /// When the last acknowledged write started: monotonic time, and Unix time in milliseconds.
-    pub(crate) confirmed: Cell<Option<(Instant, u64)>>,
+    pub(crate) last_confirmed_write: Cell<Option<(Instant, u64)>>,
     /// Newest values by key that are not recorded at the store yet.
     pub(crate) pending: RefCell<HashMap<String, u64>>,
     /// Allowances received from the owner, with the time of receipt, for a takeover by this VM.
@@ -39,7 +39,7 @@
     /// Highest uptime of this VM and the VMs that were asked for copies, in milliseconds.
     pub(crate) oldest_uptime_ms: Cell<u64>,
     /// Since when writes to the store have been failing; none if the last one succeeded.
-    pub(crate) failing: Cell<Option<Instant>>,
+    pub(crate) failing_since: Cell<Option<Instant>>,
     /// Fallback partitions and programs whose allowance may be recorded there.
     pub(crate) fallback_records: RefCell<HashSet<(u64, String)>>,
     /// Whether a handover to another VM is in progress.
@@ -55,20 +55,20 @@
     pub(crate) record_written: Notify,
 }
 
-impl Part {
+impl Partition {
     /// The epoch under which this VM owns the partition.
     pub(crate) fn epoch(&self) -> Option<u64> {
-        self.hold.get().map(|hold| hold.epoch)
+        self.ownership.get().map(|ownership| ownership.epoch)
     }
 
     /// Whether this VM owns the partition, is taking it over, or is handing it over.
     pub(crate) fn is_owned_or_in_transfer(&self) -> bool {
         let being_taken_over = self.takeover_lock.try_lock().is_err();
-        being_taken_over || self.hold.get().is_some() || self.handover_in_progress.get()
+        being_taken_over || self.ownership.get().is_some() || self.handover_in_progress.get()
     }
 
     /// Waits until no handover is in progress.
-    pub(crate) async fn settled(&self) {
+    pub(crate) async fn wait_for_handover(&self) {
         loop {
             let ended = self.handover_ended.notified();
             if !self.handover_in_progress.get() {
--- a/src/gateway/tokens/partitions.rs
+++ b/src/gateway/tokens/partitions.rs
@@ -7,7 +7,7 @@
 
 use crate::clock;
 use crate::gateway::peers::Copy;
-use crate::gateway::tokens::partition::{Hold, Part};
+use crate::gateway::tokens::partition::{Ownership, Partition};
 use crate::gateway::{Gateway, peers};
 use crate::id::{Epoch, Shard};
 use crate::platform::records::ALLOWANCE_TOPIC;
@@ -49,13 +49,13 @@
 
 /// The partitions known to this VM, and the client of the store that they are recorded in.
 #[derive(Debug)]
-pub(crate) struct Keeper {
+pub(crate) struct Partitions {
     /// Address for messages from other VMs.
     pub(crate) address: SocketAddr,
     pub(crate) vm_number: u64,
     pub(crate) store: Store,
     pub(crate) partition_count: u64,
-    partitions: RefCell<HashMap<u64, Rc<Part>>>,
+    by_id: RefCell<HashMap<u64, Rc<Partition>>>,
     /// Tokens spent or reserved by each program, as last reported by its owner.
     pub(crate) reported_totals: RefCell<HashMap<String, u64>>,
     /// Allowances that were granted but not recorded before this VM lost ownership of their
@@ -65,12 +65,12 @@
     pub(crate) last_owners: RefCell<HashMap<u64, SocketAddr>>,
     consecutive_failures: Cell<u32>,
     last_failure: Cell<Option<Instant>>,
-    pub(crate) began: Instant,
+    pub(crate) started_at: Instant,
 }
 
-/// Permission for one turn to generate tokens. Released by [`Gateway::settle`].
+/// Permission for one turn to generate tokens. Released by [`Gateway::settle_tokens`].
 #[derive(Debug, Clone)]
-pub(crate) struct Allowance {
+pub(crate) struct Grant {
     /// The owner of the program's partition; none if it is this VM.
     pub(crate) owner: Option<SocketAddr>,
     pub(crate) part: u64,
@@ -79,45 +79,40 @@
     pub(crate) turns: u32,
 }
 
-impl Keeper {
+impl Partitions {
     pub(crate) fn new(address: SocketAddr, store: SocketAddr, partition_count: u64) -> Self {
         Self {
             address,
             vm_number: peers::vm_number(address),
             store: Store::new(store),
             partition_count,
-            partitions: RefCell::default(),
+            by_id: RefCell::default(),
             reported_totals: RefCell::default(),
             last_owners: RefCell::default(),
             orphaned_copies: RefCell::default(),
             consecutive_failures: Cell::new(0),
             last_failure: Cell::new(None),
-            began: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
-    pub(crate) fn part(&self, partition_id: u64) -> Rc<Part> {
-        Rc::clone(
-            self.partitions
-                .borrow_mut()
-                .entry(partition_id)
-                .or_default(),
-        )
+    pub(crate) fn partition(&self, partition_id: u64) -> Rc<Partition> {
+        Rc::clone(self.by_id.borrow_mut().entry(partition_id).or_default())
     }
 
-    pub(crate) fn part_of(&self, key: &str) -> u64 {
+    pub(crate) fn partition_of(&self, key: &str) -> u64 {
         xxh3_64(key.as_bytes()) % self.partition_count
     }
 
     pub(crate) fn uptime_ms(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
     /// Queues a heartbeat record for each owned partition.
     pub(crate) fn queue_heartbeats(self: &Rc<Self>) {
-        for (partition_id, part) in self.held() {
-            part.add_pending(HEARTBEAT_KEY, clock::wall_ms());
-            Rc::clone(self).start_writer(partition_id, part);
+        for (partition_id, partition) in self.owned() {
+            partition.add_pending(HEARTBEAT_KEY, clock::wall_ms());
+            Rc::clone(self).start_writer(partition_id, partition);
         }
     }
 
@@ -135,10 +130,10 @@
     /// their writers keep retrying and notice when the store is back, so callers need not probe it.
     pub(crate) fn skips_store(&self) -> bool {
         self.consecutive_failures.get() >= MAX_STORE_FAILURES
-            && (!self.has_store() || !self.held().is_empty())
+            && (!self.has_store() || !self.owned().is_empty())
     }
 
-    pub(crate) fn note_store_result(&self, succeeded: bool) {
+    pub(crate) fn record_store_result(&self, succeeded: bool) {
         let had_store = self.has_store();
         self.consecutive_failures.set(if succeeded {
             0
@@ -154,35 +149,36 @@
     }
 
     pub(crate) fn settle(&self, partition_id: u64, reservation: Reservation, used: u64) {
-        let part = self.part(partition_id);
-        part.ledger
+        let partition = self.partition(partition_id);
+        partition
+            .ledger
             .borrow_mut()
             .settle(Instant::now(), reservation, used);
     }
 
-    pub(crate) fn start_writer(self: Rc<Self>, partition_id: u64, part: Rc<Part>) {
-        if !part.writer_running.replace(true) {
-            tokio::task::spawn_local(self.write_pending(partition_id, part));
+    pub(crate) fn start_writer(self: Rc<Self>, partition_id: u64, partition: Rc<Partition>) {
+        if !partition.writer_running.replace(true) {
+            tokio::task::spawn_local(self.write_pending(partition_id, partition));
         }
     }
 
     /// Writes pending records until none are left. Appends are sequential, so allowances that
     /// arrive during an append share the next one.
-    async fn write_pending(self: Rc<Self>, partition_id: u64, part: Rc<Part>) {
+    async fn write_pending(self: Rc<Self>, partition_id: u64, partition: Rc<Partition>) {
         loop {
-            let batch: Vec<(String, u64)> = part
+            let batch: Vec<(String, u64)> = partition
                 .pending
                 .borrow()
                 .iter()
                 .map(|(key, value)| (key.clone(), *value))
                 .collect();
-            let Some(hold) = part.hold.get().filter(|_| !batch.is_empty()) else {
-                part.writer_running.set(false);
+            let Some(ownership) = partition.ownership.get().filter(|_| !batch.is_empty()) else {
+                partition.writer_running.set(false);
                 return;
             };
-            if !hold.fenced {
+            if !ownership.fenced {
                 if self
-                    .take_over(partition_id, &part, None, hold.origin)
+                    .take_over(partition_id, &partition, None, ownership.origin)
                     .await
                     .is_err()
                 {
@@ -194,11 +190,14 @@
                 .iter()
                 .map(|(key, value)| encode_record(key, *value))
                 .collect();
-            if !self.append_batch(partition_id, &part, hold, &records).await {
+            if !self
+                .append_batch(partition_id, &partition, ownership, &records)
+                .await
+            {
                 continue;
             }
-            part.mark_recorded(batch);
-            part.record_written.notify_waiters();
+            partition.mark_recorded(batch);
+            partition.record_written.notify_waiters();
         }
     }
 
@@ -207,11 +206,11 @@
     async fn append_batch(
         &self,
         partition_id: u64,
-        part: &Part,
-        hold: Hold,
+        partition: &Partition,
+        ownership: Ownership,
         records: &[Keyed],
     ) -> bool {
-        let writer = writer(hold.epoch, hold.sequence);
+        let writer = writer(ownership.epoch, ownership.sequence);
         let mut delay = RETRY_BACKOFF.0;
         loop {
             let started_at = (Instant::now(), clock::wall_ms());
@@ -221,22 +220,25 @@
                 .await;
             let set_sequence = |sequence| {
                 // The partition may have been handed over during the append.
-                if part.hold.get() == Some(hold) {
-                    part.hold.set(Some(Hold { sequence, ..hold }));
+                if partition.ownership.get() == Some(ownership) {
+                    partition.ownership.set(Some(Ownership {
+                        sequence,
+                        ..ownership
+                    }));
                 }
             };
             match result {
                 Ok(()) => {
-                    self.note_store_result(true);
-                    part.confirmed.set(Some(started_at));
-                    if part.failing.take().is_some() {
+                    self.record_store_result(true);
+                    partition.last_confirmed_write.set(Some(started_at));
+                    if partition.failing_since.take().is_some() {
                         event!(info, "records_flow", part = partition_id);
                     }
-                    set_sequence(hold.sequence + 1);
+                    set_sequence(ownership.sequence + 1);
                     return true;
                 }
                 Err(Fault::Fenced) => {
-                    self.lose_ownership(partition_id, part, hold.epoch);
+                    self.lose_ownership(partition_id, partition, ownership.epoch);
                     return false;
                 }
                 Err(Fault::Sequence(expected)) => {
@@ -244,7 +246,7 @@
                         warn,
                         "sequence_corrected",
                         part = partition_id,
-                        sent = hold.sequence,
+                        sent = ownership.sequence,
                         expected = expected
                     );
                     set_sequence(expected);
@@ -254,8 +256,8 @@
                 // Retry with the same sequence number: the store deduplicates the append if it took
                 // effect.
                 Err(fault) => {
-                    if part.failing.get().is_none() {
-                        part.failing.set(Some(Instant::now()));
+                    if partition.failing_since.get().is_none() {
+                        partition.failing_since.set(Some(Instant::now()));
                         event!(warn, "records_stuck", part = partition_id, reason = fault);
                     }
                     sleep(delay).await;
@@ -266,11 +268,11 @@
     }
 
     /// Gives up ownership because another VM owns the partition under a higher epoch.
-    pub(crate) fn lose_ownership(&self, partition_id: u64, part: &Part, epoch: u64) {
+    pub(crate) fn lose_ownership(&self, partition_id: u64, partition: &Partition, epoch: u64) {
         event!(warn, "allowances_lost", part = partition_id, epoch = epoch);
-        part.hold.set(None);
-        part.ownership_ended.set(Some(Instant::now()));
-        let unrecorded = part.pending.take().into_iter();
+        partition.ownership.set(None);
+        partition.ownership_ended.set(Some(Instant::now()));
+        let unrecorded = partition.pending.take().into_iter();
         let unrecorded = unrecorded.filter(|(key, _)| !key.starts_with(INTERNAL_KEY_PREFIX));
         let copies = unrecorded.map(|(program, allowed)| Copy {
             part: partition_id,
@@ -280,53 +282,58 @@
             fenced: true,
         });
         self.orphaned_copies.borrow_mut().extend(copies);
-        part.record_written.notify_waiters();
+        partition.record_written.notify_waiters();
     }
 
     /// Drops outdated copies, and drops programs idle for longer than `idle` from memory and the
     /// store.
     pub(crate) async fn expire_idle(self: &Rc<Self>, idle: Duration) {
-        for part in self.partitions.borrow().values() {
-            let mut copies = part.copies.borrow_mut();
+        for partition in self.by_id.borrow().values() {
+            let mut copies = partition.copies.borrow_mut();
             copies.retain(|_, (_, updated_at)| updated_at.elapsed() < COPY_LIFETIME);
-            part.unrecorded_copies
+            partition
+                .unrecorded_copies
                 .borrow_mut()
                 .retain(|program, _| copies.contains_key(program));
         }
-        for (partition_id, part) in self.held() {
-            let expired = part
+        for (partition_id, partition) in self.owned() {
+            let expired = partition
                 .ledger
                 .borrow_mut()
                 .expire(Instant::now(), idle + IDLE_TIMEOUT_MARGIN);
-            let fenced = part.hold.get().is_some_and(|hold| hold.fenced);
-            if expired.is_empty() || !fenced || part.writer_running.replace(true) {
+            let fenced = partition
+                .ownership
+                .get()
+                .is_some_and(|ownership| ownership.fenced);
+            if expired.is_empty() || !fenced || partition.writer_running.replace(true) {
                 continue;
             }
             let dropped = expired.into_iter().map(|key| Keyed { key, value: None });
             let records: Vec<Keyed> = dropped.collect();
-            if let Some(hold) = part.hold.get() {
-                self.append_batch(partition_id, &part, hold, &records).await;
+            if let Some(ownership) = partition.ownership.get() {
+                self.append_batch(partition_id, &partition, ownership, &records)
+                    .await;
             }
-            self.drop_fallback_records(partition_id, &part, &records)
+            self.drop_fallback_records(partition_id, &partition, &records)
                 .await;
-            tokio::task::spawn_local(Rc::clone(self).write_pending(partition_id, part));
+            tokio::task::spawn_local(Rc::clone(self).write_pending(partition_id, partition));
         }
     }
 
     /// Merges a copy of an allowance; the highest value counts.
     pub(crate) fn merge_copy(&self, copy: Copy) {
-        let part = self.part(copy.part);
-        if part.hold.get().is_some() {
+        let partition = self.partition(copy.part);
+        if partition.ownership.get().is_some() {
             // The previous owner granted more than this VM knew of and could not record it. Record
             // it here, or the program could get these tokens again if all VMs are lost.
-            let mut ledger = part.ledger.borrow_mut();
+            let mut ledger = partition.ledger.borrow_mut();
             if ledger.allowed(&copy.program) < copy.allowed {
-                part.add_pending(&copy.program, copy.allowed);
+                partition.add_pending(&copy.program, copy.allowed);
             }
             ledger.restore(Instant::now(), &copy.program, copy.allowed);
             return;
         }
-        let mut copies = part.copies.borrow_mut();
+        let mut copies = partition.copies.borrow_mut();
         let known = copies.entry(copy.program).or_insert((0, Instant::now()));
         *known = (copy.allowed.max(known.0), Instant::now());
     }
@@ -341,15 +348,15 @@
         entries: Vec<(Entry, u64)>,
         fenced: bool,
     ) {
-        let part = self.part(partition_id);
+        let partition = self.partition(partition_id);
         let now = Instant::now();
         for (entry, unrecorded) in entries {
             if unrecorded > 0 {
-                part.add_pending(&entry.program, unrecorded);
+                partition.add_pending(&entry.program, unrecorded);
             }
-            part.ledger.borrow_mut().adopt(now, entry);
+            partition.ledger.borrow_mut().adopt(now, entry);
         }
-        let programs = part.ledger.borrow().len();
+        let programs = partition.ledger.borrow().len();
         event!(
             info,
             "allowances_adopted",
@@ -359,46 +366,51 @@
             fenced = fenced
         );
         if !fenced {
-            part.hold.set(Some(Hold {
+            partition.ownership.set(Some(Ownership {
                 epoch: epoch + 1,
                 sequence: 0,
                 fenced: false,
                 origin: Origin::HandedOver,
             }));
-            part.successor.set(None);
+            partition.successor.set(None);
         }
     }
 
     /// The partitions that this VM owns, and their epochs, as announced to the other members.
     /// Partitions counted from copies alone are left out: they must not displace an owner that the
     /// store has confirmed.
-    pub(crate) fn claims(&self) -> Vec<(Shard, Epoch)> {
-        let partitions = self.partitions.borrow();
-        let confirmed = partitions.iter().filter_map(|(partition_id, part)| {
-            let hold = part.hold.get().filter(|hold| hold.fenced)?;
-            Some((Shard(*partition_id), Epoch(hold.epoch)))
+    pub(crate) fn ownership_claims(&self) -> Vec<(Shard, Epoch)> {
+        let partitions = self.by_id.borrow();
+        let confirmed = partitions.iter().filter_map(|(partition_id, partition)| {
+            let ownership = partition
+                .ownership
+                .get()
+                .filter(|ownership| ownership.fenced)?;
+            Some((Shard(*partition_id), Epoch(ownership.epoch)))
         });
         let mut claims: Vec<_> = confirmed.collect();
         claims.sort_unstable();
         claims
     }
 
-    pub(crate) fn held(&self) -> Vec<(u64, Rc<Part>)> {
-        let partitions = self.partitions.borrow();
+    pub(crate) fn owned(&self) -> Vec<(u64, Rc<Partition>)> {
+        let partitions = self.by_id.borrow();
         let owned = partitions
             .iter()
-            .filter(|(_, part)| part.hold.get().is_some());
+            .filter(|(_, partition)| partition.ownership.get().is_some());
         owned
-            .map(|(partition_id, part)| (*partition_id, Rc::clone(part)))
+            .map(|(partition_id, partition)| (*partition_id, Rc::clone(partition)))
             .collect()
     }
 
     /// The number of owned partitions, and of programs in them.
-    pub(crate) fn size(&self) -> (usize, usize) {
-        let partitions = self.partitions.borrow();
-        let owned = partitions.values().filter(|part| part.hold.get().is_some());
-        owned.fold((0, 0), |(count, programs), part| {
-            (count + 1, programs + part.ledger.borrow().len())
+    pub(crate) fn owned_counts(&self) -> (usize, usize) {
+        let partitions = self.by_id.borrow();
+        let owned = partitions
+            .values()
+            .filter(|partition| partition.ownership.get().is_some());
+        owned.fold((0, 0), |(count, programs), partition| {
+            (count + 1, programs + partition.ledger.borrow().len())
         })
     }
 }
@@ -424,7 +436,7 @@
 }
 
 /// Writes heartbeats and drops idle programs until the process ends.
-pub(crate) async fn keep_house(gateway: Rc<Gateway>) {
+pub(crate) async fn run_maintenance(gateway: Rc<Gateway>) {
     let mut last_expiry = Instant::now();
     loop {
         sleep(HEARTBEAT_INTERVAL).await;
--- a/src/gateway/tokens/reach.rs
+++ b/src/gateway/tokens/reach.rs
@@ -15,8 +15,8 @@
 impl Gateway {
     /// Of the VMs that come next for a partition, those with an answer from the store to a call
     /// that began within `max_age`.
-    pub(crate) async fn reaching_store(&self, part: u64, max_age: Duration) -> Vec<Peer> {
-        let others = self.counters(part).into_iter();
+    pub(crate) async fn peers_reaching_store(&self, part: u64, max_age: Duration) -> Vec<Peer> {
+        let others = self.owner_candidates(part).into_iter();
         let others = others.filter(|peer| peer.ready && peer.vm != self.settings.vm);
         let replies = others.take(MAX_VMS_ASKED).map(|peer| async move {
             let reply = timeout(
--- a/src/gateway/tokens/replicas.rs
+++ b/src/gateway/tokens/replicas.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::Gateway;
 use crate::gateway::peers::{Copy, Note, Question, Reply};
-use crate::gateway::tokens::partition::Part;
+use crate::gateway::tokens::partition::Partition;
 use crate::telemetry::event;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -16,7 +16,7 @@
     /// Merges the copies that other VMs keep of allowances missing at the store. Returns the
     /// highest uptime of these VMs and this one, in milliseconds.
     pub(crate) async fn collect_copies(&self, part: u64) -> u64 {
-        let others = self.counters(part).into_iter();
+        let others = self.owner_candidates(part).into_iter();
         let others = others.filter(|peer| peer.vm != self.settings.vm);
         let asks = others.take(COPY_COUNT + 1).map(|peer| async move {
             let question = Question::Copies { part };
@@ -42,12 +42,12 @@
     }
 
     /// Sends all VMs the allowances that this one granted and could not record.
-    pub(crate) async fn tell_orphans(&self) {
+    pub(crate) async fn broadcast_orphaned_allowances(&self) {
         let orphans = self.keeper.orphaned_copies.take();
         if orphans.is_empty() {
             return;
         }
-        let members = self.counters(0);
+        let members = self.owner_candidates(0);
         event!(
             info,
             "allowances_told",
@@ -74,9 +74,9 @@
 
     /// Copies an unrecorded allowance to the VMs that would take over. Returns whether any of them
     /// keeps it; gives up ownership if one answers `NotOwner`.
-    pub(crate) async fn replicate_allowance(&self, copy: Copy, part: &Part) -> bool {
+    pub(crate) async fn replicate_allowance(&self, copy: Copy, partition: &Partition) -> bool {
         let question = Question::Keep(copy.clone());
-        let others = self.counters(copy.part).into_iter();
+        let others = self.owner_candidates(copy.part).into_iter();
         let others = others.filter(|peer| peer.vm != self.settings.vm);
         let asks = others.take(COPY_COUNT).map(|peer| {
             let question = &question;
@@ -85,7 +85,7 @@
         // Wait for all replies: the one that answers `NotOwner` may come last.
         let replies = futures::future::join_all(asks).await;
         if replies.contains(&Some(Reply::NotOwner)) {
-            self.keeper.lose_ownership(copy.part, part, copy.epoch);
+            self.keeper.lose_ownership(copy.part, partition, copy.epoch);
             return false;
         }
         let copies = replies.iter().flatten().count();
--- a/src/gateway/tokens/reserve.rs
+++ b/src/gateway/tokens/reserve.rs
@@ -2,7 +2,7 @@
 
 use crate::code::{Code, Failure};
 use crate::gateway::peers::{Note, Question, Reply};
-use crate::gateway::tokens::partitions::Allowance;
+use crate::gateway::tokens::partitions::Grant;
 use crate::gateway::{Gateway, peers};
 use crate::policy::allowance::Reservation;
 use std::collections::VecDeque;
@@ -52,8 +52,11 @@
 
     /// The VMs to ask for a partition: the announced owner first, then those that should take over.
     fn candidates(&self, part: u64) -> VecDeque<SocketAddr> {
-        let owner = self.claimed(part).map(|owner| owner.address);
-        let others = self.counters(part).into_iter().map(|peer| peer.address);
+        let owner = self.claimed_owner(part).map(|owner| owner.address);
+        let others = self
+            .owner_candidates(part)
+            .into_iter()
+            .map(|peer| peer.address);
         let others = others.filter(|address| Some(*address) != owner);
         owner
             .into_iter()
@@ -66,13 +69,13 @@
     ///
     /// # Errors
     /// [`Code::BudgetSpent`], or [`Code::LogUnavailable`] if no owner can answer.
-    pub(crate) async fn reserve(
+    pub(crate) async fn reserve_tokens(
         self: &Rc<Self>,
         program: &str,
         budget: u64,
         most: u64,
-    ) -> Result<Allowance, Failure> {
-        let part = self.keeper.part_of(program);
+    ) -> Result<Grant, Failure> {
+        let part = self.keeper.partition_of(program);
         let seen = self.keeper.reported_totals.borrow().get(program).copied();
         let seen = seen.unwrap_or_default();
         let reservation = self.peers.number();
@@ -85,11 +88,11 @@
             reservation,
             takeover,
         };
-        match self.ask_counting(part, question).await {
+        match self.ask_owner(part, question).await {
             Some((Reply::Granted { turns, total }, peer)) => {
                 self.remember_total(program, total);
-                Ok(Allowance {
-                    owner: (peer != self.address()).then_some(peer),
+                Ok(Grant {
+                    owner: (peer != self.peer_address()).then_some(peer),
                     part,
                     reservation,
                     turns,
@@ -106,7 +109,7 @@
     /// Sends a question to the owner of a partition. Returns the reply and the owner's address, or
     /// none if no VM owns the partition and none takes it over. `question` is called with the
     /// `takeover` flag of the message.
-    pub(crate) async fn ask_counting(
+    pub(crate) async fn ask_owner(
         self: &Rc<Self>,
         part: u64,
         question: impl Fn(bool) -> Question,
@@ -144,25 +147,25 @@
     }
 
     async fn ask_candidate(self: &Rc<Self>, peer: SocketAddr, question: Question) -> Option<Reply> {
-        if peer == self.address() {
-            return Some(self.answer((peer, 0), question).await);
+        if peer == self.peer_address() {
+            return Some(self.handle_question((peer, 0), question).await);
         }
         self.peers.ask(peer, &question).await
     }
 
     /// Address for messages from other VMs.
-    pub(crate) fn address(&self) -> SocketAddr {
+    pub(crate) fn peer_address(&self) -> SocketAddr {
         peers::address(self.settings.listen.peers)
     }
 
     /// Numeric identifier of this VM, derived from its address.
-    pub(crate) fn number(&self) -> u64 {
-        peers::vm_number(self.address())
+    pub(crate) fn vm_number(&self) -> u64 {
+        peers::vm_number(self.peer_address())
     }
 
     pub(crate) fn own_reservation(&self, reservation: u64) -> Reservation {
         Reservation {
-            vm: self.number(),
+            vm: self.vm_number(),
             number: reservation,
         }
     }
@@ -179,13 +182,13 @@
     }
 
     /// Releases the reservation of a finished turn, `used` tokens of which were handed out.
-    pub(crate) async fn settle(&self, allowance: Allowance, used: u64) {
-        let Allowance {
+    pub(crate) async fn settle_tokens(&self, grant: Grant, used: u64) {
+        let Grant {
             owner,
             part,
             reservation,
             ..
-        } = allowance;
+        } = grant;
         match owner {
             None => self
                 .keeper
--- a/src/gateway/tokens/takeover.rs
+++ b/src/gateway/tokens/takeover.rs
@@ -1,9 +1,9 @@
 //! Takes over a partition from its previous owner.
 
 use crate::clock;
-use crate::gateway::tokens::partition::{Hold, Part};
+use crate::gateway::tokens::partition::{Ownership, Partition};
 use crate::gateway::tokens::partitions::{
-    HEARTBEAT_KEY, INTERNAL_KEY_PREFIX, Keeper, PROGRAM_IDLE_TIMEOUT, decode_value, writer,
+    HEARTBEAT_KEY, INTERNAL_KEY_PREFIX, PROGRAM_IDLE_TIMEOUT, Partitions, decode_value, writer,
 };
 use crate::id::Offset;
 use crate::platform::records::{ALLOWANCE_TOPIC, DETOUR_TOPIC};
@@ -56,7 +56,7 @@
     }
 }
 
-impl Keeper {
+impl Partitions {
     /// Reads the owner record of a partition.
     pub(crate) async fn read_owner(&self, partition_id: u64) -> Result<OwnerRecord, Fault> {
         let newest = self.store.newest(ALLOWANCE_TOPIC, partition_id).await?;
@@ -76,48 +76,52 @@
     pub(crate) async fn take_over(
         &self,
         partition_id: u64,
-        part: &Part,
+        partition: &Partition,
         as_of: Option<Offset>,
         origin: Origin,
     ) -> Result<(), Fault> {
-        let _guard = part.takeover_lock.lock().await;
-        if part.hold.get().is_some_and(|hold| hold.fenced) {
+        let _guard = partition.takeover_lock.lock().await;
+        if partition
+            .ownership
+            .get()
+            .is_some_and(|ownership| ownership.fenced)
+        {
             return Ok(());
         }
         let began = (Instant::now(), clock::wall_ms());
-        let hold = self
+        let ownership = self
             .fence_previous_owner(partition_id, as_of, origin)
             .await?;
-        part.confirmed.set(Some(began));
-        let newest = self.read_records(partition_id, part).await?;
-        let copies = part.copies.take();
-        let ledger = self.build_ledger(part, &newest.records, &copies);
+        partition.last_confirmed_write.set(Some(began));
+        let newest = self.read_records(partition_id, partition).await?;
+        let copies = partition.copies.take();
+        let ledger = self.build_ledger(partition, &newest.records, &copies);
         event!(
             info,
             "allowances_taken",
             part = partition_id,
-            epoch = hold.epoch,
+            epoch = ownership.epoch,
             programs = ledger.len(),
             copies = copies.len(),
-            oldest_ms = part.oldest_uptime_ms.get(),
+            oldest_ms = partition.oldest_uptime_ms.get(),
             doubtful = ledger.is_doubtful()
         );
         // The store may lack these, and the next owner would miss them.
         for (program, (allowed, _)) in copies {
-            part.add_pending(&program, allowed);
+            partition.add_pending(&program, allowed);
         }
         // A copy may be older than the record. Writing it would lower the allowance.
         let recorded = |key: &str| {
             let record = newest.records.iter().find(|record| record.key == key)?;
             record.value.as_ref().and_then(decode_value)
         };
-        let mut pending = part.pending.borrow_mut();
+        let mut pending = partition.pending.borrow_mut();
         pending.retain(|key, allowed| recorded(key).is_none_or(|recorded| recorded < *allowed));
         drop(pending);
-        part.add_pending(HEARTBEAT_KEY, clock::wall_ms());
-        part.ledger.replace(ledger);
-        part.hold.set(Some(hold));
-        part.successor.set(None);
+        partition.add_pending(HEARTBEAT_KEY, clock::wall_ms());
+        partition.ledger.replace(ledger);
+        partition.ownership.set(Some(ownership));
+        partition.successor.set(None);
         Ok(())
     }
 
@@ -127,7 +131,7 @@
         partition_id: u64,
         as_of: Option<Offset>,
         origin: Origin,
-    ) -> Result<Hold, Fault> {
+    ) -> Result<Ownership, Fault> {
         let record = Bytes::from(format!("{} {}", self.address, clock::wall_ms()));
         let owner = [Keyed {
             key: OWNER_KEY.to_owned(),
@@ -151,7 +155,7 @@
             }
             match done {
                 Ok(()) => {
-                    return Ok(Hold {
+                    return Ok(Ownership {
                         epoch,
                         sequence: 1,
                         fenced: true,
@@ -162,7 +166,7 @@
                 // The previous owner's clock is ahead of this one's.
                 Err(Fault::Fenced) => epoch += EPOCH_STEP,
                 Err(fault) => {
-                    self.note_store_result(false);
+                    self.record_store_result(false);
                     return Err(fault);
                 }
             }
@@ -171,7 +175,11 @@
 
     /// Reads the records of a partition, and merges those in its fallback partitions into the
     /// copies.
-    async fn read_records(&self, partition_id: u64, part: &Part) -> Result<Newest, Fault> {
+    async fn read_records(
+        &self,
+        partition_id: u64,
+        partition: &Partition,
+    ) -> Result<Newest, Fault> {
         let fallback_reads = self
             .fallback_partitions(partition_id)
             .map(|fallback| self.store.newest(DETOUR_TOPIC, fallback));
@@ -179,7 +187,7 @@
             self.store.newest(ALLOWANCE_TOPIC, partition_id),
             futures::future::join_all(fallback_reads),
         );
-        self.note_store_result(newest.is_ok());
+        self.record_store_result(newest.is_ok());
         let newest = newest?;
         let fallback_reads = self
             .fallback_partitions(partition_id)
@@ -192,14 +200,17 @@
             records.map(move |record| (fallback, record))
         });
         for (fallback, record) in fallback_reads {
-            let (Some(value), true) = (&record.value, self.part_of(&record.key) == partition_id)
-            else {
+            let (Some(value), true) = (
+                &record.value,
+                self.partition_of(&record.key) == partition_id,
+            ) else {
                 continue;
             };
-            part.fallback_records
+            partition
+                .fallback_records
                 .borrow_mut()
                 .insert((fallback, record.key.clone()));
-            let mut copies = part.copies.borrow_mut();
+            let mut copies = partition.copies.borrow_mut();
             let known = copies.entry(record.key.clone());
             let known = known.or_insert((0, Instant::now()));
             known.0 = decode_value(value).unwrap_or_default().max(known.0);
@@ -210,14 +221,14 @@
     /// Builds the ledger from the records and the copies.
     fn build_ledger(
         &self,
-        part: &Part,
+        partition: &Partition,
         records: &[Keyed],
         copies: &HashMap<String, (u64, Instant)>,
     ) -> Ledger {
         let now = Instant::now();
         // Accounts that this VM already owns are newer than their records.
-        let mut ledger = part.ledger.take();
-        if part.hold.get().is_none() {
+        let mut ledger = partition.ledger.take();
+        if partition.ownership.get().is_none() {
             let doubtful = ledger.is_doubtful();
             ledger = Ledger::default();
             if doubtful {
@@ -234,12 +245,12 @@
         }
         // In a handover no VM is asked for copies, since the previous owner sends everything; this
         // VM's own uptime is used then.
-        let oldest_uptime_ms = part.oldest_uptime_ms.get().max(self.uptime_ms());
+        let oldest_uptime_ms = partition.oldest_uptime_ms.get().max(self.uptime_ms());
         if may_lack_grants(records, oldest_uptime_ms) {
             ledger.doubt();
             let until = clock::wall_ms()
                 + u64::try_from(PROGRAM_IDLE_TIMEOUT.as_millis()).unwrap_or(u64::MAX);
-            part.add_pending(INCOMPLETE_KEY, until);
+            partition.add_pending(INCOMPLETE_KEY, until);
         }
         ledger
     }
@@ -248,16 +259,16 @@
     ///
     /// The previous owner may still be running behind a network partition. It cannot grant more
     /// than its durable or copied allowances, and all of these count as spent here.
-    pub(crate) fn take_over_from_copies(&self, partition_id: u64, part: &Part) -> bool {
-        let copies = part.copies.borrow();
-        if copies.is_empty() || self.began.elapsed() < MIN_UPTIME_FOR_COPIES {
+    pub(crate) fn take_over_from_copies(&self, partition_id: u64, partition: &Partition) -> bool {
+        let copies = partition.copies.borrow();
+        if copies.is_empty() || self.started_at.elapsed() < MIN_UPTIME_FOR_COPIES {
             return false;
         }
         let mut ledger = Ledger::default();
         for (program, (allowed, _)) in copies.iter() {
             ledger.restore(Instant::now(), program, *allowed);
             // The store can't be asked which of them it has.
-            part.add_pending(program, *allowed);
+            partition.add_pending(program, *allowed);
         }
         event!(
             warn,
@@ -265,8 +276,8 @@
             part = partition_id,
             programs = copies.len()
         );
-        part.ledger.replace(ledger);
-        part.hold.set(Some(Hold {
+        partition.ledger.replace(ledger);
+        partition.ownership.set(Some(Ownership {
             epoch: self.next_epoch(),
             sequence: 0,
             fenced: false,
