--- a/src/gateway/tokens/failover.rs
+++ b/src/gateway/tokens/failover.rs
@@ -101,7 +101,7 @@
                         None => Origin::Silent(Instant::now()),
                     }
                 }
-                // The record can't be parsed, or this VM already counts from copies.
+                // The record can't be parsed, or this VM already owns the partition from replicas.
                 _ => Origin::GivenUp,
             };
             // Runs as its own task: if this request times out, the takeover still completes for the
@@ -131,7 +131,7 @@
         end: Offset,
         origin: Origin,
     ) -> Result<(), Fault> {
-        let oldest_uptime_ms = self.collect_copies(partition_id).await;
+        let oldest_uptime_ms = self.collect_replicas(partition_id).await;
         partition.oldest_uptime_ms.set(oldest_uptime_ms);
         let result = self
             .keeper
@@ -154,7 +154,7 @@
         reply.map(|reply| reply == Reply::Counting(true))
     }
 
-    /// Takes a partition over from the copies at other VMs, if this VM is first in line for it.
+    /// Takes a partition over from the replicas at other VMs, if this VM is first in order for it.
     /// Returns none on success, else the reply to send.
     ///
     /// Refuses while another VM reaches the store: that VM takes the partition over there, and both
@@ -175,10 +175,10 @@
         {
             return Some(Reply::Away);
         }
-        self.collect_copies(partition_id).await;
+        self.collect_replicas(partition_id).await;
         let taken = partition.ownership.get().is_some()
             || self.is_first_candidate(partition_id)
-                && self.keeper.take_over_from_copies(partition_id, partition);
+                && self.keeper.take_over_from_replicas(partition_id, partition);
         (!taken).then_some(Reply::Away)
     }
 
--- a/src/gateway/tokens/fallback.rs
+++ b/src/gateway/tokens/fallback.rs
@@ -18,12 +18,12 @@
         &self,
         partition_id: u64,
         partition: &Partition,
-        copy: &Copy,
+        replica: &Copy,
     ) -> bool {
         if self.skips_store() {
             return false;
         }
-        let record = [encode_record(&copy.program, copy.allowed)];
+        let record = [encode_record(&replica.program, replica.allowed)];
         // Written to all at once, so that a turn does not wait for one timeout after another.
         let writes = self.fallback_partitions(partition_id).map(|fallback| {
             let write = self.store.append(DETOUR_TOPIC, fallback, &record, None);
@@ -38,15 +38,15 @@
         // The other writes may take effect as well.
         let possible = self
             .fallback_partitions(partition_id)
-            .map(|fallback| (fallback, copy.program.clone()));
+            .map(|fallback| (fallback, replica.program.clone()));
         partition.fallback_records.borrow_mut().extend(possible);
         event!(
             info,
             "allowance_detoured",
-            program = copy.program,
+            program = replica.program,
             part = partition_id,
             through = fallback,
-            allowed = copy.allowed
+            allowed = replica.allowed
         );
         true
     }
--- a/src/gateway/tokens/handover.rs
+++ b/src/gateway/tokens/handover.rs
@@ -39,9 +39,9 @@
 impl Gateway {
     /// Hands the owned partitions over to other VMs.
     ///
-    /// A VM that alone has lost the store can only grant allowances copied to other VMs. If all VMs
-    /// then lost power, the same tokens would be granted again. If all VMs have lost the store, the
-    /// partitions stay: the others can't write records either.
+    /// A VM that alone has lost the store can only grant allowances replicated to other VMs. If all
+    /// VMs then lost power, the same tokens would be granted again. If all VMs have lost the store,
+    /// the partitions stay: the others can't write records either.
     pub(crate) async fn hand_over_partitions(&self, reason: Reason) {
         let mut store_checked = reason == Reason::Stopping;
         for (partition_id, partition) in self.keeper.owned() {
--- a/src/gateway/tokens/mod.rs
+++ b/src/gateway/tokens/mod.rs
@@ -2,8 +2,10 @@
 //! are handed out.
 //!
 //! A turn reserves tokens through `reserve`. The VM that owns the program's partition answers in
-//! `owner` and records allowances through `partitions`. The other modules handle changes of ownership
-//! and times in which the store or a VM is unavailable.
+//! `owner` and records allowances through `partitions`. The other modules handle changes of
+//! ownership and times in which the store or a VM is unavailable. An allowance is the number of
+//! tokens that a program may be granted in total; it is made durable before the tokens are handed
+//! out.
 
 pub(crate) mod failover;
 pub(crate) mod fallback;
--- a/src/gateway/tokens/owner.rs
+++ b/src/gateway/tokens/owner.rs
@@ -14,7 +14,7 @@
 
 /// How long a turn waits for a takeover, which takes two calls to the store.
 pub(crate) const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(1);
-const COPIES_PER_DATAGRAM: usize = 40;
+const REPLICAS_PER_DATAGRAM: usize = 40;
 
 /// A request to reserve tokens, as received by the owner of the partition.
 #[derive(Debug)]
@@ -104,24 +104,24 @@
                 };
                 self.reserve_as_owner(request).await
             }
-            Question::Keep(copy) => {
-                let partition = self.keeper.partition(copy.part);
-                // The asking VM may have been suspended while this one took over, or it counts from
-                // copies while this one reaches the store. Either way another VM may own the
-                // partition, and both would grant the same tokens.
+            Question::Keep(replica) => {
+                let partition = self.keeper.partition(replica.part);
+                // The asking VM may have been suspended while this one took over, or it may own the
+                // partition from replicas while this one reaches the store. Either way another VM
+                // may own the partition too, and both would grant the same tokens.
                 let newer = partition
                     .ownership
                     .get()
-                    .is_some_and(|ownership| ownership.epoch > copy.epoch);
-                if newer || (!copy.fenced && self.has_store()) {
-                    self.keeper.merge_copy(copy);
+                    .is_some_and(|ownership| ownership.epoch > replica.epoch);
+                if newer || (!replica.fenced && self.has_store()) {
+                    self.keeper.merge_replica(replica);
                     return Reply::NotOwner;
                 }
                 partition
-                    .unrecorded_copies
+                    .unrecorded_replicas
                     .borrow_mut()
-                    .insert(copy.program.clone(), copy.allowed);
-                self.keeper.merge_copy(copy);
+                    .insert(replica.program.clone(), replica.allowed);
+                self.keeper.merge_replica(replica);
                 Reply::Kept
             }
             Question::Counts { part } => {
@@ -134,8 +134,8 @@
             Question::Locate { turn, lost } => self.locate(&turn, lost).await,
             Question::Copies { part } => {
                 let partition = self.keeper.partition(part);
-                let unrecorded_copies = partition.unrecorded_copies.borrow();
-                let allowances = unrecorded_copies.iter().take(COPIES_PER_DATAGRAM);
+                let unrecorded_replicas = partition.unrecorded_replicas.borrow();
+                let allowances = unrecorded_replicas.iter().take(REPLICAS_PER_DATAGRAM);
                 let allowances = allowances.map(|(program, allowed)| (program.clone(), *allowed));
                 Reply::Copies {
                     allowed: allowances.collect(),
@@ -176,7 +176,7 @@
                     self.keeper.settle(part, reservation, used);
                 }
             }
-            Note::Copied(copy) => self.keeper.merge_copy(copy),
+            Note::Copied(replica) => self.keeper.merge_replica(replica),
             Note::Holds { turn } => self.conversations.set_holder(turn, from),
         }
     }
@@ -248,7 +248,7 @@
     }
 
     /// Makes an allowance durable: recorded in its partition, else in a fallback partition, else
-    /// copied to other VMs. Returns false if none of these succeeded.
+    /// replicated to other VMs. Returns false if none of these succeeded.
     async fn make_durable(
         self: &Rc<Self>,
         partition_id: u64,
@@ -281,7 +281,7 @@
         } else {
             STORE_TIMEOUT
         };
-        let copy = Copy {
+        let replica = Copy {
             part: partition_id,
             program: program.to_owned(),
             allowed,
@@ -290,13 +290,13 @@
         };
         match timeout(store_timeout, durable).await {
             Ok(recorded) => {
-                self.send_copy_to_successor(copy).await;
+                self.send_replica_to_successor(replica).await;
                 recorded
             }
             Err(_)
                 if self
                     .keeper
-                    .record_in_fallback_partition(partition_id, partition, &copy)
+                    .record_in_fallback_partition(partition_id, partition, &replica)
                     .await =>
             {
                 true
@@ -315,7 +315,7 @@
                 );
                 false
             }
-            Err(_) => self.replicate_allowance(copy, partition).await,
+            Err(_) => self.replicate_allowance(replica, partition).await,
         }
     }
 }
--- a/src/gateway/tokens/partition.rs
+++ b/src/gateway/tokens/partition.rs
@@ -1,4 +1,5 @@
-//! State of one partition of programs: its ledger, and what is known of its records at the store.
+//! State of one partition of programs: its token accounts, and what is known of its records at the
+//! store.
 
 use crate::gateway::limits::count::Counted;
 use crate::policy::allowance::{Entry, Ledger};
@@ -31,12 +32,12 @@
     /// Newest values by key that are not recorded at the store yet.
     pub(crate) pending: RefCell<HashMap<String, u64>>,
     /// Allowances received from the owner, with the time of receipt, for a takeover by this VM.
-    pub(crate) copies: RefCell<HashMap<String, (u64, Instant)>>,
-    /// Those of the copies that the store may not have.
-    pub(crate) unrecorded_copies: RefCell<HashMap<String, u64>>,
+    pub(crate) replicas: RefCell<HashMap<String, (u64, Instant)>>,
+    /// Those of the replicas that the store may not have.
+    pub(crate) unrecorded_replicas: RefCell<HashMap<String, u64>>,
     /// When this VM last lost ownership or handed it over.
     pub(crate) ownership_ended: Cell<Option<Instant>>,
-    /// Highest uptime of this VM and the VMs that were asked for copies, in milliseconds.
+    /// Highest uptime of this VM and the VMs that were asked for replicas, in milliseconds.
     pub(crate) oldest_uptime_ms: Cell<u64>,
     /// Since when writes to the store have been failing; none if the last one succeeded.
     pub(crate) failing_since: Cell<Option<Instant>>,
--- a/src/gateway/tokens/partitions.rs
+++ b/src/gateway/tokens/partitions.rs
@@ -25,15 +25,15 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How long a turn waits for the store to take its allowance before the allowance is written to a
-/// fallback partition or copied to other VMs.
+/// fallback partition or replicated to other VMs.
 pub(crate) const STORE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Keys with this prefix hold metadata of the partition; all others are programs.
 pub(crate) const INTERNAL_KEY_PREFIX: char = '@';
 /// Key of the owner's heartbeat record. Its value is a Unix time in milliseconds.
 pub(crate) const HEARTBEAT_KEY: &str = "@alive";
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// How long copies of allowances received from partition owners are kept.
-const COPY_LIFETIME: Duration = Duration::from_mins(2);
+/// How long replicas of allowances received from partition owners are kept.
+const REPLICA_LIFETIME: Duration = Duration::from_mins(2);
 /// Initial and maximum delay between two attempts to write a record. Every owned partition retries
 /// on its own, so the delay bounds the load on a store that is down.
 const RETRY_BACKOFF: (Duration, Duration) =
@@ -60,7 +60,7 @@
     pub(crate) reported_totals: RefCell<HashMap<String, u64>>,
     /// Allowances that were granted but not recorded before this VM lost ownership of their
     /// partition.
-    pub(crate) orphaned_copies: RefCell<Vec<Copy>>,
+    pub(crate) orphaned_replicas: RefCell<Vec<Copy>>,
     /// The VM that last answered as owner of each partition.
     pub(crate) last_owners: RefCell<HashMap<u64, SocketAddr>>,
     consecutive_failures: Cell<u32>,
@@ -89,7 +89,7 @@
             by_id: RefCell::default(),
             reported_totals: RefCell::default(),
             last_owners: RefCell::default(),
-            orphaned_copies: RefCell::default(),
+            orphaned_replicas: RefCell::default(),
             consecutive_failures: Cell::new(0),
             last_failure: Cell::new(None),
             started_at: Instant::now(),
@@ -274,27 +274,27 @@
         partition.ownership_ended.set(Some(Instant::now()));
         let unrecorded = partition.pending.take().into_iter();
         let unrecorded = unrecorded.filter(|(key, _)| !key.starts_with(INTERNAL_KEY_PREFIX));
-        let copies = unrecorded.map(|(program, allowed)| Copy {
+        let replicas = unrecorded.map(|(program, allowed)| Copy {
             part: partition_id,
             program,
             allowed,
             epoch,
             fenced: true,
         });
-        self.orphaned_copies.borrow_mut().extend(copies);
+        self.orphaned_replicas.borrow_mut().extend(replicas);
         partition.record_written.notify_waiters();
     }
 
-    /// Drops outdated copies, and drops programs idle for longer than `idle` from memory and the
+    /// Drops outdated replicas, and drops programs idle for longer than `idle` from memory and the
     /// store.
     pub(crate) async fn expire_idle(self: &Rc<Self>, idle: Duration) {
         for partition in self.by_id.borrow().values() {
-            let mut copies = partition.copies.borrow_mut();
-            copies.retain(|_, (_, updated_at)| updated_at.elapsed() < COPY_LIFETIME);
+            let mut replicas = partition.replicas.borrow_mut();
+            replicas.retain(|_, (_, updated_at)| updated_at.elapsed() < REPLICA_LIFETIME);
             partition
-                .unrecorded_copies
+                .unrecorded_replicas
                 .borrow_mut()
-                .retain(|program, _| copies.contains_key(program));
+                .retain(|program, _| replicas.contains_key(program));
         }
         for (partition_id, partition) in self.owned() {
             let expired = partition
@@ -320,22 +320,24 @@
         }
     }
 
-    /// Merges a copy of an allowance; the highest value counts.
-    pub(crate) fn merge_copy(&self, copy: Copy) {
-        let partition = self.partition(copy.part);
+    /// Merges a replica of an allowance; the highest value counts.
+    pub(crate) fn merge_replica(&self, replica: Copy) {
+        let partition = self.partition(replica.part);
         if partition.ownership.get().is_some() {
             // The previous owner granted more than this VM knew of and could not record it. Record
             // it here, or the program could get these tokens again if all VMs are lost.
             let mut ledger = partition.ledger.borrow_mut();
-            if ledger.allowed(&copy.program) < copy.allowed {
-                partition.add_pending(&copy.program, copy.allowed);
+            if ledger.allowed(&replica.program) < replica.allowed {
+                partition.add_pending(&replica.program, replica.allowed);
             }
-            ledger.restore(Instant::now(), &copy.program, copy.allowed);
+            ledger.restore(Instant::now(), &replica.program, replica.allowed);
             return;
         }
-        let mut copies = partition.copies.borrow_mut();
-        let known = copies.entry(copy.program).or_insert((0, Instant::now()));
-        *known = (copy.allowed.max(known.0), Instant::now());
+        let mut replicas = partition.replicas.borrow_mut();
+        let known = replicas
+            .entry(replica.program)
+            .or_insert((0, Instant::now()));
+        *known = (replica.allowed.max(known.0), Instant::now());
     }
 
     /// Imports the accounts of a partition handed over by its previous owner, each with its
@@ -377,8 +379,8 @@
     }
 
     /// The partitions that this VM owns, and their epochs, as announced to the other members.
-    /// Partitions counted from copies alone are left out: they must not displace an owner that the
-    /// store has confirmed.
+    /// Partitions taken over from replicas alone are left out: they must not displace an owner that
+    /// the store has confirmed.
     pub(crate) fn ownership_claims(&self) -> Vec<(Shard, Epoch)> {
         let partitions = self.by_id.borrow();
         let confirmed = partitions.iter().filter_map(|(partition_id, partition)| {
--- a/src/gateway/tokens/replicas.rs
+++ b/src/gateway/tokens/replicas.rs
@@ -1,4 +1,4 @@
-//! Copies of allowances at other VMs, for times when the store accepts no records.
+//! Replicas of allowances at other VMs, for times when the store accepts no records.
 
 use crate::gateway::Gateway;
 use crate::gateway::peers::{Copy, Note, Question, Reply};
@@ -7,18 +7,18 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time allowed for VMs to return their copies.
+/// Time allowed for VMs to return their replicas.
 const COLLECT_TIMEOUT: Duration = Duration::from_millis(70);
-/// Number of VMs that keep a copy of an unrecorded allowance.
-const COPY_COUNT: usize = 4;
+/// Number of VMs that keep a replica of an unrecorded allowance.
+const REPLICA_COUNT: usize = 4;
 
 impl Gateway {
-    /// Merges the copies that other VMs keep of allowances missing at the store. Returns the
-    /// highest uptime of these VMs and this one, in milliseconds.
-    pub(crate) async fn collect_copies(&self, part: u64) -> u64 {
+    /// Merges the replicas that other VMs keep of unrecorded allowances. Returns the highest uptime
+    /// of these VMs and this one, in milliseconds.
+    pub(crate) async fn collect_replicas(&self, part: u64) -> u64 {
         let others = self.owner_candidates(part).into_iter();
         let others = others.filter(|peer| peer.vm != self.settings.vm);
-        let asks = others.take(COPY_COUNT + 1).map(|peer| async move {
+        let asks = others.take(REPLICA_COUNT + 1).map(|peer| async move {
             let question = Question::Copies { part };
             timeout(COLLECT_TIMEOUT, self.peers.ask(peer.address, &question)).await
         });
@@ -29,7 +29,7 @@
             };
             oldest_uptime_ms = up_ms.max(oldest_uptime_ms);
             for (program, allowed) in allowed {
-                self.keeper.merge_copy(Copy {
+                self.keeper.merge_replica(Copy {
                     part,
                     program,
                     allowed,
@@ -43,7 +43,7 @@
 
     /// Sends all VMs the allowances that this one granted and could not record.
     pub(crate) async fn broadcast_orphaned_allowances(&self) {
-        let orphans = self.keeper.orphaned_copies.take();
+        let orphans = self.keeper.orphaned_replicas.take();
         if orphans.is_empty() {
             return;
         }
@@ -54,10 +54,10 @@
             programs = orphans.len(),
             members = members.len()
         );
-        for copy in orphans {
+        for replica in orphans {
             for peer in members.iter().filter(|peer| peer.vm != self.settings.vm) {
                 self.peers
-                    .tell(peer.address, Note::Copied(copy.clone()))
+                    .tell(peer.address, Note::Copied(replica.clone()))
                     .await;
             }
         }
@@ -65,37 +65,38 @@
 
     /// Sends a durable allowance to the VM that would take over, in case the store becomes
     /// unavailable.
-    pub(crate) async fn send_copy_to_successor(&self, copy: Copy) {
-        let next = self.next_candidate(copy.part);
+    pub(crate) async fn send_replica_to_successor(&self, replica: Copy) {
+        let next = self.next_candidate(replica.part);
         if let Some(next) = next {
-            self.peers.tell(next.address, Note::Copied(copy)).await;
+            self.peers.tell(next.address, Note::Copied(replica)).await;
         }
     }
 
-    /// Copies an unrecorded allowance to the VMs that would take over. Returns whether any of them
-    /// keeps it; gives up ownership if one answers `NotOwner`.
-    pub(crate) async fn replicate_allowance(&self, copy: Copy, partition: &Partition) -> bool {
-        let question = Question::Keep(copy.clone());
-        let others = self.owner_candidates(copy.part).into_iter();
+    /// Replicates an unrecorded allowance to the VMs that would take over. Returns whether any of
+    /// them keeps it; gives up ownership if one answers `NotOwner`.
+    pub(crate) async fn replicate_allowance(&self, replica: Copy, partition: &Partition) -> bool {
+        let question = Question::Keep(replica.clone());
+        let others = self.owner_candidates(replica.part).into_iter();
         let others = others.filter(|peer| peer.vm != self.settings.vm);
-        let asks = others.take(COPY_COUNT).map(|peer| {
+        let asks = others.take(REPLICA_COUNT).map(|peer| {
             let question = &question;
             async move { self.peers.ask(peer.address, question).await }
         });
         // Wait for all replies: the one that answers `NotOwner` may come last.
         let replies = futures::future::join_all(asks).await;
         if replies.contains(&Some(Reply::NotOwner)) {
-            self.keeper.lose_ownership(copy.part, partition, copy.epoch);
+            self.keeper
+                .lose_ownership(replica.part, partition, replica.epoch);
             return false;
         }
-        let copies = replies.iter().flatten().count();
+        let replicas = replies.iter().flatten().count();
         event!(
             info,
             "allowance_copied",
-            program = copy.program,
-            allowed = copy.allowed,
-            copies = copies
+            program = replica.program,
+            allowed = replica.allowed,
+            copies = replicas
         );
-        copies > 0
+        replicas > 0
     }
 }
--- a/src/gateway/tokens/takeover.rs
+++ b/src/gateway/tokens/takeover.rs
@@ -24,8 +24,8 @@
 const EPOCHS_PER_MS: u64 = 1 << 12;
 /// Added to an epoch that the store rejects as too low; equals ten seconds of the clock.
 const EPOCH_STEP: u64 = 10_000 * EPOCHS_PER_MS;
-/// Uptime after which this VM has received copies for all programs that are still active.
-const MIN_UPTIME_FOR_COPIES: Duration = Duration::from_secs(5);
+/// Uptime after which this VM has received replicas for all programs that are still active.
+const MIN_UPTIME_FOR_REPLICAS: Duration = Duration::from_secs(5);
 /// Key of the record that marks a partition as incomplete: tokens granted without a record may have
 /// been lost. Its value is the Unix time in milliseconds at which the mark expires.
 const INCOMPLETE_KEY: &str = "@doubt";
@@ -94,23 +94,23 @@
             .await?;
         partition.last_confirmed_write.set(Some(began));
         let newest = self.read_records(partition_id, partition).await?;
-        let copies = partition.copies.take();
-        let ledger = self.build_ledger(partition, &newest.records, &copies);
+        let replicas = partition.replicas.take();
+        let ledger = self.build_ledger(partition, &newest.records, &replicas);
         event!(
             info,
             "allowances_taken",
             part = partition_id,
             epoch = ownership.epoch,
             programs = ledger.len(),
-            copies = copies.len(),
+            copies = replicas.len(),
             oldest_ms = partition.oldest_uptime_ms.get(),
             doubtful = ledger.is_doubtful()
         );
         // The store may lack these, and the next owner would miss them.
-        for (program, (allowed, _)) in copies {
+        for (program, (allowed, _)) in replicas {
             partition.add_pending(&program, allowed);
         }
-        // A copy may be older than the record. Writing it would lower the allowance.
+        // A replica may be older than the record. Writing it would lower the allowance.
         let recorded = |key: &str| {
             let record = newest.records.iter().find(|record| record.key == key)?;
             record.value.as_ref().and_then(decode_value)
@@ -174,7 +174,7 @@
     }
 
     /// Reads the records of a partition, and merges those in its fallback partitions into the
-    /// copies.
+    /// replicas.
     async fn read_records(
         &self,
         partition_id: u64,
@@ -210,20 +210,20 @@
                 .fallback_records
                 .borrow_mut()
                 .insert((fallback, record.key.clone()));
-            let mut copies = partition.copies.borrow_mut();
-            let known = copies.entry(record.key.clone());
+            let mut replicas = partition.replicas.borrow_mut();
+            let known = replicas.entry(record.key.clone());
             let known = known.or_insert((0, Instant::now()));
             known.0 = decode_value(value).unwrap_or_default().max(known.0);
         }
         Ok(newest)
     }
 
-    /// Builds the ledger from the records and the copies.
+    /// Builds the ledger from the records and the replicas.
     fn build_ledger(
         &self,
         partition: &Partition,
         records: &[Keyed],
-        copies: &HashMap<String, (u64, Instant)>,
+        replicas: &HashMap<String, (u64, Instant)>,
     ) -> Ledger {
         let now = Instant::now();
         // Accounts that this VM already owns are newer than their records.
@@ -240,11 +240,11 @@
             let allowed = record.value.as_ref().and_then(decode_value);
             ledger.restore(now, &record.key, allowed.unwrap_or_default());
         }
-        for (program, (allowed, _)) in copies {
+        for (program, (allowed, _)) in replicas {
             ledger.restore(now, program, *allowed);
         }
-        // In a handover no VM is asked for copies, since the previous owner sends everything; this
-        // VM's own uptime is used then.
+        // In a handover no VM is asked for replicas, since the previous owner sends everything;
+        // this VM's own uptime is used then.
         let oldest_uptime_ms = partition.oldest_uptime_ms.get().max(self.uptime_ms());
         if may_lack_grants(records, oldest_uptime_ms) {
             ledger.doubt();
@@ -255,17 +255,17 @@
         ledger
     }
 
-    /// Takes a partition over from copies alone while the store is unavailable.
+    /// Takes a partition over from replicas alone while the store is unavailable.
     ///
     /// The previous owner may still be running behind a network partition. It cannot grant more
-    /// than its durable or copied allowances, and all of these count as spent here.
-    pub(crate) fn take_over_from_copies(&self, partition_id: u64, partition: &Partition) -> bool {
-        let copies = partition.copies.borrow();
-        if copies.is_empty() || self.started_at.elapsed() < MIN_UPTIME_FOR_COPIES {
+    /// than its durable or replicated allowances, and all of these count as spent here.
+    pub(crate) fn take_over_from_replicas(&self, partition_id: u64, partition: &Partition) -> bool {
+        let replicas = partition.replicas.borrow();
+        if replicas.is_empty() || self.started_at.elapsed() < MIN_UPTIME_FOR_REPLICAS {
             return false;
         }
         let mut ledger = Ledger::default();
-        for (program, (allowed, _)) in copies.iter() {
+        for (program, (allowed, _)) in replicas.iter() {
             ledger.restore(Instant::now(), program, *allowed);
             // The store can't be asked which of them it has.
             partition.add_pending(program, *allowed);
@@ -274,7 +274,7 @@
             warn,
             "allowances_taken_from_copies",
             part = partition_id,
-            programs = copies.len()
+            programs = replicas.len()
         );
         partition.ledger.replace(ledger);
         partition.ownership.set(Some(Ownership {
