--- a/src/gateway/tokens/takeover.rs
+++ b/src/gateway/tokens/takeover.rs
@@ -19,8 +19,8 @@
 
 /// Key of the record that names the owner.
 const OWNER_KEY: &str = "@owner";
-/// Epochs per millisecond of the wall clock. The remainder is the VM number, so that two VMs do not
-/// use the same epoch.
+/// Epochs per millisecond of the wall clock. The VM number is added to the time, so that two VMs do
+/// not use the same epoch.
 const EPOCHS_PER_MS: u64 = 1 << 12;
 /// Added to an epoch that the store rejects as too low; equals ten seconds of the clock.
 const EPOCH_STEP: u64 = 10_000 * EPOCHS_PER_MS;
