--- a/src/gateway/tokens/failover.rs
+++ b/src/gateway/tokens/failover.rs
@@ -61,7 +61,7 @@
         if !takeover && expected_owner.is_some_and(|other| other.vm != self.settings.vm) {
             return Some(Reply::NotOwner);
         }
-        if self.keeper.skips_store() {
+        if self.keeper.should_skip_store() {
             // The rest would wait for the store.
             return self.take_over_without_store(partition_id, partition).await;
         }
--- a/src/gateway/tokens/fallback.rs
+++ b/src/gateway/tokens/fallback.rs
@@ -20,7 +20,7 @@
         partition: &Partition,
         replica: &Copy,
     ) -> bool {
-        if self.skips_store() {
+        if self.should_skip_store() {
             return false;
         }
         let record = [encode_record(&replica.program, replica.allowed)];
--- a/src/gateway/tokens/owner.rs
+++ b/src/gateway/tokens/owner.rs
@@ -275,12 +275,12 @@
                 record_written.await;
             }
         };
-        let store_timeout = if partition.failing_since.get().is_some() || self.keeper.skips_store()
-        {
-            Duration::ZERO
-        } else {
-            STORE_TIMEOUT
-        };
+        let store_timeout =
+            if partition.failing_since.get().is_some() || self.keeper.should_skip_store() {
+                Duration::ZERO
+            } else {
+                STORE_TIMEOUT
+            };
         let replica = Copy {
             part: partition_id,
             program: program.to_owned(),
--- a/src/gateway/tokens/partitions.rs
+++ b/src/gateway/tokens/partitions.rs
@@ -73,6 +73,7 @@
 pub(crate) struct Grant {
     /// The owner of the program's partition; none if it is this VM.
     pub(crate) owner: Option<SocketAddr>,
+    /// Number of the program's partition.
     pub(crate) part: u64,
     pub(crate) reservation: u64,
     /// Number of turns of the program so far, including this one.
@@ -128,7 +129,7 @@
 
     /// Whether callers should skip the store without waiting for it. While this VM owns partitions,
     /// their writers keep retrying and notice when the store is back, so callers need not probe it.
-    pub(crate) fn skips_store(&self) -> bool {
+    pub(crate) fn should_skip_store(&self) -> bool {
         self.consecutive_failures.get() >= MAX_STORE_FAILURES
             && (!self.has_store() || !self.owned().is_empty())
     }
