--- /dev/null
+++ b/src/gateway/conversation/writer.rs
@@ -0,0 +1,131 @@
+//! Writes the turns of one bucket to the store.
+//!
+//! The end of an answer waits for its turn to be written. Turns that arrive during a write share
+//! the next one, a write without an answer is sent again (turns are immutable), and a store that is
+//! unavailable is probed by one bucket at a time.
+
+use super::Conversations;
+use crate::clock;
+use crate::conversation::{Bucket, Id, Outbox, Turn};
+use crate::platform::records::turn_topic;
+use crate::platform::store::{Error, Record};
+use crate::telemetry::event;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::sleep;
+
+/// Size limit of one write; the store accepts 2 MB.
+const MAX_WRITE_BYTES: usize = 1 << 20;
+/// Initial and maximum delay after a failed write.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(300));
+/// How long a bucket waits for another one to find that the store has recovered before it tries
+/// itself.
+const RECOVERY_WAIT: Duration = Duration::from_millis(1500);
+
+/// Turns of one bucket that are not recorded at the store yet.
+#[derive(Debug, Default)]
+pub(super) struct BucketWriter {
+    pub(super) outbox: RefCell<Outbox>,
+    running: Cell<bool>,
+    pub(super) failing: Cell<bool>,
+    written: Notify,
+}
+
+impl BucketWriter {
+    /// Waits until a turn is recorded at the store.
+    pub(super) async fn wait_until_recorded(&self, id: &Id) {
+        loop {
+            let written = self.written.notified();
+            if !self.outbox.borrow().lacks(id) {
+                return;
+            }
+            written.await;
+        }
+    }
+}
+
+impl Conversations {
+    /// Queues a turn to be recorded, and starts the writer of its bucket if it is idle.
+    pub(super) fn enqueue(self: &Rc<Self>, bucket: Bucket, turn: Rc<Turn>) -> Rc<BucketWriter> {
+        let writer = self.writer(bucket);
+        writer.outbox.borrow_mut().push(turn);
+        if !writer.running.replace(true) {
+            tokio::task::spawn_local(Rc::clone(self).write_pending(bucket, Rc::clone(&writer)));
+        }
+        writer
+    }
+
+    /// Writes queued turns until none are left.
+    async fn write_pending(self: Rc<Self>, bucket: Bucket, writer: Rc<BucketWriter>) {
+        let mut delay = RETRY_BACKOFF.0;
+        loop {
+            writer.outbox.borrow_mut().expire(clock::wall_ms());
+            let batch = writer.outbox.borrow().batch(MAX_WRITE_BYTES);
+            if batch.is_empty() {
+                writer.running.set(false);
+                return;
+            }
+            match self.append_batch(bucket, &batch).await {
+                Ok(()) => {
+                    writer.outbox.borrow_mut().recorded(&batch);
+                    writer.written.notify_waiters();
+                    self.record_store_success(&writer, bucket);
+                    delay = RETRY_BACKOFF.0;
+                }
+                Err(fault) => {
+                    self.record_store_failure();
+                    if !writer.failing.replace(true) {
+                        event!(warn, "turns_stuck", bucket = bucket, reason = fault);
+                    }
+                    self.wait_to_retry(delay).await;
+                    delay = (delay * 2).min(RETRY_BACKOFF.1);
+                }
+            }
+        }
+    }
+
+    fn record_store_success(&self, writer: &BucketWriter, bucket: Bucket) {
+        self.consecutive_failures.set(0);
+        self.store_recovered.notify_waiters();
+        if writer.failing.replace(false) {
+            event!(info, "turns_flow", bucket = bucket);
+        }
+    }
+
+    /// Waits after a failed write. While the store is unavailable, one bucket retries after
+    /// `delay`, and the others wait for it to succeed.
+    async fn wait_to_retry(&self, delay: Duration) {
+        if self.is_store_down() && self.probing.get() {
+            tokio::select! {
+                () = self.store_recovered.notified() => {}
+                () = sleep(RECOVERY_WAIT) => {}
+            }
+            return;
+        }
+        self.probing.set(true);
+        sleep(delay).await;
+        self.probing.set(false);
+    }
+
+    async fn append_batch(&self, bucket: Bucket, batch: &[Rc<Turn>]) -> Result<(), Error> {
+        let records: Vec<Record> = batch.iter().map(|turn| turn_record(turn)).collect();
+        let topic = turn_topic(self.layout.topic(bucket));
+        let partition = self.layout.partition(bucket);
+        let store = self.store.borrow().clone();
+        let result = store.append_hedged(&topic, partition, &records, None).await;
+        if matches!(result, Err(Error::OutcomeUnknown(_))) {
+            self.store.borrow_mut().reconnect();
+        }
+        result
+    }
+}
+
+/// The store's record of a turn.
+pub(super) fn turn_record(turn: &Turn) -> Record {
+    Record {
+        key: turn.id.to_string(),
+        value: Some(turn.encode()),
+    }
+}
--- /dev/null
+++ b/src/gateway/tokens/owner.rs
@@ -0,0 +1,325 @@
+//! Handles messages of other VMs, and reserves tokens in partitions that this VM owns.
+
+use crate::gateway::peers::{Asked, Copy, Note, Peer, Question, Reply};
+use crate::gateway::tokens::partition::Partition;
+use crate::gateway::tokens::partitions::STORE_TIMEOUT;
+use crate::gateway::{Gateway, peers};
+use crate::id::{Shard, rendezvous};
+use crate::policy::allowance::{self, Reservation, Verdict};
+use crate::telemetry::event;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{Instant, timeout};
+
+/// How long a turn waits for a takeover, which takes two calls to the store.
+pub(crate) const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(1);
+const REPLICAS_PER_DATAGRAM: usize = 40;
+
+/// A request to reserve tokens, as received by the owner of the partition.
+#[derive(Debug)]
+struct ReserveRequest<'a> {
+    part: u64,
+    program: &'a str,
+    reservation: Reservation,
+    turn: allowance::Request,
+    takeover: bool,
+}
+
+impl Gateway {
+    /// The member that announces ownership of a partition.
+    pub(crate) fn claimed_owner(&self, part: u64) -> Option<Peer> {
+        let view = self.view.borrow();
+        let owner = view.owner(Shard(part))?;
+        Some(Peer {
+            vm: owner.vm.clone(),
+            address: peers::address(owner.address),
+            ready: owner.ready,
+        })
+    }
+
+    /// All VMs in the order in which they should own a partition; VMs that are not ready or do not
+    /// answer come last.
+    pub(crate) fn owner_candidates(&self, part: u64) -> Vec<Peer> {
+        self.ranked_members(&format!("allowance/{part}"))
+    }
+
+    /// All VMs in rendezvous order for a key; VMs that are not ready or do not answer come last.
+    pub(crate) fn ranked_members(&self, key: &str) -> Vec<Peer> {
+        let view = self.view.borrow();
+        let mut members: Vec<_> = view
+            .members
+            .values()
+            .map(|member| {
+                let silent = self.peers.is_silent(peers::address(member.address));
+                let rank = rendezvous(key, member.vm.as_str());
+                (member.ready && !silent, rank, member)
+            })
+            .collect();
+        members.sort_by_key(|(available, rank, _)| std::cmp::Reverse((*available, *rank)));
+        let peers = members.into_iter().map(|(_, _, member)| Peer {
+            vm: member.vm.clone(),
+            address: peers::address(member.address),
+            ready: member.ready,
+        });
+        peers.collect()
+    }
+
+    /// The VM that should own a partition if this one can't.
+    pub(crate) fn next_candidate(&self, part: u64) -> Option<Peer> {
+        let mut others = self.owner_candidates(part).into_iter();
+        others.find(|peer| peer.vm != self.settings.vm)
+    }
+
+    pub(crate) async fn handle_question(
+        self: &Rc<Self>,
+        asked: Asked,
+        question: Question,
+    ) -> Reply {
+        match question {
+            Question::Place(ask) => self.lease_to(asked, ask).await,
+            Question::Take {
+                part,
+                take,
+                takeover,
+            } => self.take_of_team(part, take, takeover).await,
+            Question::Reserve {
+                part,
+                program,
+                budget,
+                most,
+                seen,
+                reservation,
+                takeover,
+            } => {
+                let request = ReserveRequest {
+                    part,
+                    program: &program,
+                    reservation: Reservation {
+                        vm: peers::vm_number(asked.0),
+                        number: reservation,
+                    },
+                    turn: allowance::Request { budget, most, seen },
+                    takeover,
+                };
+                self.reserve_as_owner(request).await
+            }
+            Question::Keep(replica) => {
+                let partition = self.keeper.partition(replica.part);
+                // The asking VM may have been suspended while this one took over, or it may own the
+                // partition from replicas while this one reaches the store. Either way another VM
+                // may own the partition too, and both would grant the same tokens.
+                let newer = partition
+                    .ownership
+                    .get()
+                    .is_some_and(|ownership| ownership.epoch > replica.epoch);
+                if newer || (!replica.fenced && self.has_store()) {
+                    self.keeper.merge_replica(replica);
+                    return Reply::NotOwner;
+                }
+                partition
+                    .unrecorded_replicas
+                    .borrow_mut()
+                    .insert(replica.program.clone(), replica.allowed);
+                self.keeper.merge_replica(replica);
+                Reply::Kept
+            }
+            Question::Counts { part } => {
+                let partition = self.keeper.partition(part);
+                Reply::Counting(partition.is_owned_or_in_transfer())
+            }
+            Question::Heard => Reply::Heard {
+                ago_ms: self.store_heard_ms(),
+            },
+            Question::Locate { turn, lost } => self.locate(&turn, lost).await,
+            Question::Copies { part } => {
+                let partition = self.keeper.partition(part);
+                let unrecorded_replicas = partition.unrecorded_replicas.borrow();
+                let allowances = unrecorded_replicas.iter().take(REPLICAS_PER_DATAGRAM);
+                let allowances = allowances.map(|(program, allowed)| (program.clone(), *allowed));
+                Reply::Copies {
+                    allowed: allowances.collect(),
+                    up_ms: self.keeper.uptime_ms(),
+                }
+            }
+            Question::Adopt {
+                part,
+                epoch,
+                entries,
+                doubtful,
+                first,
+                last,
+                ending,
+            } => {
+                if doubtful {
+                    self.keeper
+                        .partition(part)
+                        .ledger
+                        .borrow_mut()
+                        .mark_incomplete();
+                }
+                self.receive_handover(part, epoch, entries, (first, last), ending)
+                    .await
+            }
+        }
+    }
+
+    /// Handles a message that needs no answer.
+    pub(crate) async fn handle_note(&self, from: SocketAddr, note: Note) {
+        match note {
+            Note::Left { number, outcome } => self.leases.end(&(from, number), outcome),
+            Note::Settled {
+                part,
+                reservation,
+                used,
+            } => {
+                let successor = self.keeper.partition(part).successor.get();
+                if let Some(successor) = successor {
+                    self.peers.tell(successor, note).await;
+                } else {
+                    self.keeper.settle(part, reservation, used);
+                }
+            }
+            Note::Copied(replica) => self.keeper.merge_replica(replica),
+            Note::Holds { turn } => self.conversations.set_holder(turn, from),
+        }
+    }
+
+    async fn reserve_as_owner(self: &Rc<Self>, request: ReserveRequest<'_>) -> Reply {
+        let ReserveRequest {
+            part: partition_id,
+            program,
+            reservation,
+            turn,
+            takeover,
+        } = request;
+        let partition = self.keeper.partition(partition_id);
+        // Answering `NotOwner` during a handover would leave the caller without any owner.
+        partition.wait_for_handover().await;
+        if partition.ownership.get().is_none() {
+            let refusal = self
+                .take_ownership(partition_id, &partition, takeover)
+                .await;
+            if let Some(refusal) = refusal {
+                return refusal;
+            }
+        }
+        let verdict =
+            partition
+                .ledger
+                .borrow_mut()
+                .reserve(Instant::now(), program, reservation, turn);
+        let (turns, total) = partition.ledger.borrow().usage(program);
+        if verdict != Verdict::Covered || self.sampler.takes(program) {
+            event!(
+                info,
+                "turn_counted",
+                program = program,
+                part = partition_id,
+                epoch = partition
+                    .ownership
+                    .get()
+                    .map_or(0, |ownership| ownership.epoch),
+                budget = turn.budget,
+                total = total,
+                allowed = partition.ledger.borrow().allowed(program),
+                turns = turns,
+                seen = turn.seen,
+                verdict = verdict
+            );
+        }
+        let epoch = partition.ownership.get().map(|ownership| ownership.epoch);
+        let durable = match verdict {
+            Verdict::Spent => return Reply::Spent,
+            Verdict::Covered => true,
+            Verdict::Record(allowed) => {
+                self.make_durable(partition_id, &partition, program, turn, allowed)
+                    .await
+            }
+        };
+        // Another VM may have taken the partition over while the allowance was being made durable.
+        let still_owner = partition.ownership.get().map(|ownership| ownership.epoch) == epoch;
+        // A repeated request for the same reservation may have failed and released it.
+        if !durable || !still_owner || !partition.ledger.borrow().is_open(reservation) {
+            self.keeper.settle(partition_id, reservation, 0);
+            return if still_owner {
+                Reply::Unrecorded
+            } else {
+                Reply::NotOwner
+            };
+        }
+        Reply::Granted { turns, total }
+    }
+
+    /// Makes an allowance durable: recorded in its partition, else in a fallback partition, else
+    /// replicated to other VMs. Returns false if none of these succeeded.
+    async fn make_durable(
+        self: &Rc<Self>,
+        partition_id: u64,
+        partition: &Rc<Partition>,
+        program: &str,
+        turn: allowance::Request,
+        allowed: u64,
+    ) -> bool {
+        let ownership = partition.ownership.get();
+        partition.add_pending(program, allowed);
+        Rc::clone(&self.keeper).start_writer(partition_id, Rc::clone(partition));
+        let durable = async {
+            loop {
+                let record_written = partition.record_written.notified();
+                if partition.ledger.borrow().allowed(program) >= allowed {
+                    return true;
+                }
+                // Ownership was lost, so the allowance will not be recorded.
+                if partition.ownership.get().map(|ownership| ownership.epoch)
+                    != ownership.map(|ownership| ownership.epoch)
+                {
+                    return false;
+                }
+                record_written.await;
+            }
+        };
+        let store_timeout =
+            if partition.failing_since.get().is_some() || self.keeper.should_skip_store() {
+                Duration::ZERO
+            } else {
+                STORE_TIMEOUT
+            };
+        let replica = Copy {
+            part: partition_id,
+            program: program.to_owned(),
+            allowed,
+            epoch: ownership.map_or(0, |ownership| ownership.epoch),
+            fenced: ownership.is_some_and(|ownership| ownership.fenced),
+        };
+        match timeout(store_timeout, durable).await {
+            Ok(recorded) => {
+                self.send_replica_to_successor(replica).await;
+                recorded
+            }
+            Err(_)
+                if self
+                    .keeper
+                    .record_in_fallback_partition(partition_id, partition, &replica)
+                    .await =>
+            {
+                true
+            }
+            Err(_)
+                if !partition.ledger.borrow().allows_unrecorded(program, turn)
+                    || !self.reaches_most().await
+                    || self.others_have_store(partition).await =>
+            {
+                event!(
+                    info,
+                    "allowance_unrecorded",
+                    program = program,
+                    part = partition_id,
+                    budget = turn.budget
+                );
+                false
+            }
+            Err(_) => self.replicate_allowance(replica, partition).await,
+        }
+    }
+}
--- /dev/null
+++ b/src/gateway/tokens/partition.rs
@@ -0,0 +1,112 @@
+//! State of one partition of programs: its token accounts, and what is known of its records at the
+//! store.
+
+use crate::gateway::limits::count::Counted;
+use crate::policy::allowance::{Ledger, Snapshot};
+use crate::policy::share::Origin;
+use std::cell::{Cell, RefCell};
+use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
+use tokio::sync::{Mutex, Notify};
+use tokio::time::Instant;
+
+/// This VM's ownership of a partition, as the writer of its records.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct Ownership {
+    pub(crate) epoch: u64,
+    pub(crate) sequence: u64,
+    /// Whether the store has fenced off the previous writer. Nothing can be recorded until it has.
+    pub(crate) fenced: bool,
+    /// How this VM became the owner.
+    pub(crate) origin: Origin,
+}
+
+#[derive(Debug, Default)]
+pub(crate) struct Partition {
+    pub(crate) ownership: Cell<Option<Ownership>>,
+    pub(crate) ledger: RefCell<Ledger>,
+    /// Rate-limit counters of the teams that hash to this partition.
+    pub(crate) teams: RefCell<Counted>,
+    /// When the last acknowledged write started: monotonic time, and Unix time in milliseconds.
+    pub(crate) last_confirmed_write: Cell<Option<(Instant, u64)>>,
+    /// Newest values by key that are not recorded at the store yet.
+    pub(crate) pending: RefCell<HashMap<String, u64>>,
+    /// Allowances received from the owner, with the time of receipt, for a takeover by this VM.
+    pub(crate) replicas: RefCell<HashMap<String, (u64, Instant)>>,
+    /// Those of the replicas that the store may not have.
+    pub(crate) unrecorded_replicas: RefCell<HashMap<String, u64>>,
+    /// When this VM last lost ownership or handed it over.
+    pub(crate) ownership_ended: Cell<Option<Instant>>,
+    /// Highest uptime of this VM and the VMs that were asked for replicas, in milliseconds.
+    pub(crate) oldest_uptime_ms: Cell<u64>,
+    /// Since when writes to the store have been failing; none if the last one succeeded.
+    pub(crate) failing_since: Cell<Option<Instant>>,
+    /// Fallback partitions and programs whose allowance may be recorded there.
+    pub(crate) fallback_records: RefCell<HashSet<(u64, String)>>,
+    /// Whether a handover to another VM is in progress.
+    pub(crate) handover_in_progress: Cell<bool>,
+    /// Notified when the handover ends.
+    pub(crate) handover_ended: Notify,
+    /// Entries received so far in a handover from another VM.
+    pub(crate) incoming_entries: RefCell<Vec<(Snapshot, u64)>>,
+    /// The VM that this one handed the partition to.
+    pub(crate) successor: Cell<Option<SocketAddr>>,
+    pub(crate) takeover_lock: Mutex<()>,
+    pub(crate) writer_running: Cell<bool>,
+    pub(crate) record_written: Notify,
+}
+
+impl Partition {
+    /// The epoch under which this VM owns the partition.
+    pub(crate) fn epoch(&self) -> Option<u64> {
+        self.ownership.get().map(|ownership| ownership.epoch)
+    }
+
+    /// Whether this VM owns the partition, is taking it over, or is handing it over.
+    pub(crate) fn is_owned_or_in_transfer(&self) -> bool {
+        let being_taken_over = self.takeover_lock.try_lock().is_err();
+        being_taken_over || self.ownership.get().is_some() || self.handover_in_progress.get()
+    }
+
+    /// Waits until no handover is in progress.
+    pub(crate) async fn wait_for_handover(&self) {
+        loop {
+            let ended = self.handover_ended.notified();
+            if !self.handover_in_progress.get() {
+                return;
+            }
+            ended.await;
+        }
+    }
+
+    /// The accounts of all programs, each with its unrecorded allowance, or zero.
+    pub(crate) fn export_entries(&self) -> Vec<(Snapshot, u64)> {
+        let pending = self.pending.borrow();
+        let entries = self.ledger.borrow().export().into_iter();
+        let entries = entries.map(|entry| {
+            let unrecorded = pending.get(&entry.program).copied().unwrap_or_default();
+            let allowed = entry.allowed.max(unrecorded);
+            (Snapshot { allowed, ..entry }, unrecorded)
+        });
+        entries.collect()
+    }
+
+    /// Queues a value to be recorded; the highest value of a key counts.
+    pub(crate) fn add_pending(&self, key: &str, value: u64) {
+        let mut pending = self.pending.borrow_mut();
+        let newest = pending.entry(key.to_owned()).or_default();
+        *newest = value.max(*newest);
+    }
+
+    /// Applies a batch that the store has acknowledged.
+    pub(crate) fn mark_recorded(&self, batch: Vec<(String, u64)>) {
+        let mut pending = self.pending.borrow_mut();
+        let mut ledger = self.ledger.borrow_mut();
+        for (key, allowed) in batch {
+            ledger.mark_recorded(&key, allowed);
+            if pending.get(&key).is_some_and(|newest| *newest <= allowed) {
+                pending.remove(&key);
+            }
+        }
+    }
+}
