--- a/src/gateway/limits/count.rs
+++ b/src/gateway/limits/count.rs
@@ -1,8 +1,8 @@
-//! Counts the requests of teams for the VMs that ask.
+//! Counts the requests of teams against their limits, on the VM that owns the team's partition.
 
 use crate::clock;
 use crate::gateway::Gateway;
-use crate::gateway::limits::stall::since;
+use crate::gateway::limits::stall::elapsed_between;
 use crate::gateway::peers::Reply;
 use crate::gateway::tokens::failover::LATELY;
 use crate::gateway::tokens::part::Part;
@@ -17,48 +17,51 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// May a request of a team go?
+/// Asks whether a request of a team is within the team's limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Take {
     pub(crate) team: String,
-    /// The limit as the asking VM knows it, and the version of its configuration.
+    /// The limit in the configuration of the asking VM.
     pub(crate) limit: Limit,
+    /// Version of that configuration.
     pub(crate) version: u64,
-    /// The program, by a hash.
+    /// Hash of the program name.
     pub(crate) program: Option<u64>,
-    /// The class of programs that its route tells of, by a hash.
+    /// Hash of the route name, which stands for a class of programs; `None` on routes that start no program.
     pub(crate) class: Option<u64>,
+    /// How long the request may be delayed.
     pub(crate) patience_ms: u64,
 }
 
-/// The teams of one partition, as long as this VM counts it.
+/// Quotas of the teams of one partition, on the VM that owns it.
 #[derive(Debug, Default)]
 pub(crate) struct Counted {
-    /// The epoch under which it counts them; what was granted under another one is not known.
+    /// Ownership epoch of the quotas; a new epoch starts with empty ones.
     epoch: u64,
-    since: Option<Instant>,
+    /// When the quotas of this epoch start with an empty bucket.
+    start: Option<Instant>,
     quotas: HashMap<String, Quota>,
 }
 
-/// Teams that a person is shown.
-const SHOWN: usize = 20;
-/// The epoch of a VM that counts teams while nobody has their partition.
-const STANDING_IN: u64 = 0;
+/// Maximum teams listed on the operators' state page.
+const MAX_LISTED_TEAMS: usize = 20;
+/// Epoch used by a VM that counts teams while no VM owns their partition.
+const NO_OWNER_EPOCH: u64 = 0;
 
 impl Gateway {
-    /// Answers another VM, or this one, whether a request of a team may go.
+    /// Answers a limit question of another VM or of this one.
     pub(crate) async fn take_of_team(
         self: &Rc<Self>,
-        number: u64,
+        partition: u64,
         take: Take,
         takeover: bool,
     ) -> Reply {
-        let part = self.keeper.part(number);
+        let part = self.keeper.part(partition);
         part.settled().await;
         if part.hold.get().is_none() {
-            let refusal = self.begin_to_count(number, &part, takeover).await;
+            let refusal = self.begin_to_count(partition, &part, takeover).await;
             if let Some(refusal) = refusal
-                && !(takeover && self.stands_in(number).await)
+                && !(takeover && self.may_count_without_owner(partition).await)
             {
                 return refusal;
             }
@@ -66,44 +69,44 @@
         let epoch = part.epoch();
         let share = self.share(&part).await;
         if part.epoch() != epoch {
-            // It was shut out meanwhile, and the share is another one's.
+            // This VM lost the partition meanwhile.
             return Reply::NotOwner;
         }
-        self.grant(number, &part, &take, share)
+        self.check_quota(partition, &part, &take, share)
     }
 
-    /// Whether this VM counts the teams of a partition that nobody can take.
+    /// Whether this VM may count the teams of a partition that no VM can take over.
     ///
-    /// With a third of the VMs cut off, tools of programs that came through them were refused for as long as that
-    /// lasted, though limits allow for some counters that know nothing of each other.
-    async fn stands_in(&self, number: u64) -> bool {
-        let counted = self.claimed(number);
-        let counted = counted.filter(|other| other.vm != self.settings.vm);
-        if counted.is_some_and(|other| !self.peers.is_silent(other.address)) {
+    /// Keeps requests flowing on VMs that are cut off from the others. The tolerance of the limits allows for a few
+    /// VMs that count independently.
+    async fn may_count_without_owner(&self, partition: u64) -> bool {
+        let owner = self.claimed(partition);
+        let owner = owner.filter(|other| other.vm != self.settings.vm);
+        if owner.is_some_and(|other| !self.peers.is_silent(other.address)) {
             return false;
         }
         if !self.reaches_most().await {
             return true;
         }
-        !self.has_store() && self.reaching_store(number, LATELY).await.is_empty()
+        !self.has_store() && self.reaching_store(partition, LATELY).await.is_empty()
     }
 
-    fn grant(&self, number: u64, part: &Part, take: &Take, share: Share) -> Reply {
-        let epoch = part.epoch().unwrap_or(STANDING_IN);
+    fn check_quota(&self, partition: u64, part: &Part, take: &Take, share: Share) -> Reply {
+        let epoch = part.epoch().unwrap_or(NO_OWNER_EPOCH);
         let now = Instant::now();
         let limit = self.limit_of(take);
         let bound = self.limit_bound();
         let mut teams = part.teams.borrow_mut();
-        if teams.since.is_none() || teams.epoch != epoch {
+        if teams.start.is_none() || teams.epoch != epoch {
             *teams = Counted {
                 epoch,
-                since: Some(self.begins_to_grant(part, now)),
+                start: Some(self.quota_start(part, now)),
                 quotas: HashMap::new(),
             };
         }
-        let began = teams.since.unwrap_or(now);
+        let start = teams.start.unwrap_or(now);
         let quota = teams.quotas.entry(take.team.clone());
-        let quota = quota.or_insert_with(|| Quota::new(began));
+        let quota = quota.or_insert_with(|| Quota::new(start));
         quota.set(now, &bound, limit, share);
         let request = Request {
             program: take.program,
@@ -111,40 +114,40 @@
             patience: Duration::from_millis(take.patience_ms),
         };
         match quota.ask(now, &mut self.counting.needs.borrow_mut(), request) {
-            Verdict::Granted(wait) => Reply::Admitted {
-                wait_ms: millis(wait),
+            Verdict::Granted(delay) => Reply::Admitted {
+                wait_ms: millis(delay),
             },
-            Verdict::Refused(back) => {
+            Verdict::Refused(retry_after) => {
                 if self.sampler.takes(&take.team) {
                     event!(
                         info,
                         "limit_reached",
                         team = take.team,
-                        part = number,
+                        part = partition,
                         epoch = epoch,
                         per_second = limit.per_second,
                         burst = limit.burst,
                         share = format!("{share:?}"),
                         granted = quota.granted(),
                         programs = quota.programs(),
-                        counted_ms = millis(now.saturating_duration_since(began)),
-                        back_ms = millis(back)
+                        counted_ms = millis(now.saturating_duration_since(start)),
+                        back_ms = millis(retry_after)
                     );
                 }
                 Reply::OverLimit {
-                    retry_ms: millis(back),
+                    retry_ms: millis(retry_after),
                 }
             }
         }
     }
 
-    /// When this VM begins to grant requests of a partition that it counts since `now`.
-    fn begins_to_grant(&self, part: &Part, now: Instant) -> Instant {
+    /// When quotas in a partition that this VM counts from `now` on start with an empty bucket.
+    fn quota_start(&self, part: &Part, now: Instant) -> Instant {
         let window = self.limit_bound().window;
         origin(part, now).begins(now, self.keeper.began, window)
     }
 
-    /// The limit of a team, by the newer one of two configurations.
+    /// The team's limit in the newer configuration: this VM's or the asking VM's.
     fn limit_of(&self, take: &Take) -> Limit {
         let world = self.world.borrow();
         let table = world.table.as_ref();
@@ -162,10 +165,10 @@
         }
     }
 
-    /// How much of each limit this VM may grant of a partition that it counts.
+    /// The share of each limit that this VM may grant in a partition that it counts.
     async fn share(&self, part: &Part) -> Share {
-        self.counting.stall.look();
-        let confirmed = Self::confirmed_ago(part);
+        self.counting.stall.check();
+        let confirmed = Self::since_confirmed(part);
         let reach = if confirmed < CONFIRMED {
             None
         } else {
@@ -175,49 +178,52 @@
         let doubted = origin(part, now).doubted(now);
         let standing = Standing {
             confirmed,
-            doubted: doubted.into_iter().chain(self.counting.stall.ago()).min(),
+            doubted: doubted
+                .into_iter()
+                .chain(self.counting.stall.since_last_stall())
+                .min(),
             reach,
         };
         standing.share()
     }
 
-    /// How long ago the store last confirmed that this VM has a partition.
-    fn confirmed_ago(part: &Part) -> Duration {
+    /// Time since the store last confirmed that this VM owns the partition.
+    fn since_confirmed(part: &Part) -> Duration {
         let now = (Instant::now(), clock::wall_ms());
         let confirmed = part.confirmed.get().filter(|_| part.hold.get().is_some());
-        confirmed.map_or(Duration::MAX, |confirmed| since(confirmed, now))
+        confirmed.map_or(Duration::MAX, |confirmed| elapsed_between(confirmed, now))
     }
 
-    /// The teams that this VM counts and that used most lately, for a person.
+    /// The teams with the most granted requests among those that this VM counts, for the operators' state page.
     pub(crate) fn counted_teams(&self) -> Vec<Value> {
-        let mut counted = Vec::new();
-        for (number, part) in self.keeper.held() {
+        let mut teams_by_use = Vec::new();
+        for (partition, part) in self.keeper.held() {
             let teams = part.teams.borrow();
             let rows = teams.quotas.iter().map(|(name, quota)| {
                 let row = json!({
-                    "team": name, "partition": number,
+                    "team": name, "partition": partition,
                     "granted_in_window": quota.granted(), "programs": quota.programs(),
                 });
                 (quota.granted(), row)
             });
-            counted.extend(rows);
+            teams_by_use.extend(rows);
         }
-        counted.sort_by_key(|(granted, _)| std::cmp::Reverse(*granted));
-        counted.truncate(SHOWN);
-        counted.into_iter().map(|(_, row)| row).collect()
+        teams_by_use.sort_by_key(|(granted, _)| std::cmp::Reverse(*granted));
+        teams_by_use.truncate(MAX_LISTED_TEAMS);
+        teams_by_use.into_iter().map(|(_, row)| row).collect()
     }
 
-    /// Notices whether this VM stood still.
+    /// Detects whether this process was suspended since the last check.
     pub(crate) fn look_at_clocks(&self) {
-        self.counting.stall.look();
+        self.counting.stall.check();
     }
 }
 
-/// How this VM came by what it counts.
+/// How this VM came to own the partition.
 fn origin(part: &Part, now: Instant) -> Origin {
-    // Nobody can take a partition that is counted without a hold, and whoever has it may live unseen.
-    let unseen = Origin::Silent(now);
-    part.hold.get().map_or(unseen, |hold| hold.origin)
+    // Without a hold on the partition, an unreachable owner may still be counting it.
+    let possible_owner = Origin::Silent(now);
+    part.hold.get().map_or(possible_owner, |hold| hold.origin)
 }
 
 fn millis(time: Duration) -> u64 {
--- a/src/gateway/limits/mod.rs
+++ b/src/gateway/limits/mod.rs
@@ -1,19 +1,19 @@
-//! The limits of teams, over all VMs: which VM counts a team, and what a request asks it.
+//! Rate limits of teams across all VMs.
 //!
-//! Teams are counted where programs are: the VM that counts a partition counts the teams that fall into it. So who
-//! counts, who takes over and who has been shut out is decided once, in `tokens`.
+//! The owner of a partition also counts the requests of the teams that hash to it. Ownership, takeover and fencing of
+//! partitions are handled in `tokens`.
 
 pub(crate) mod count;
 mod stall;
 mod take;
 
 use crate::policy::quota::Needs;
-use stall::Stall;
+use stall::StallDetector;
 use std::cell::RefCell;
 
-/// What this VM knows for counting teams, beside the partitions that it counts.
+/// State for enforcing team limits that belongs to no partition.
 #[derive(Debug, Default)]
 pub(crate) struct Counting {
     needs: RefCell<Needs>,
-    stall: Stall,
+    stall: StallDetector,
 }
--- a/src/gateway/limits/stall.rs
+++ b/src/gateway/limits/stall.rs
@@ -1,44 +1,42 @@
-//! Notices that this VM stood still.
+//! Detects that this process was suspended or starved of CPU.
 //!
-//! A VM that was suspended for seconds wakes with beliefs from before, and another one may have taken over what it
-//! counts. Its steady clock may not tell, so the time of day is looked at, too.
+//! Meanwhile another VM may have taken over its partitions. The monotonic clock may stop during a suspension, so the
+//! wall clock is compared as well.
 
 use crate::clock;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The time without a look after which this VM stood still. It is looked every 50 ms; a VM of an eighth of a core
-/// that is slowed down five times takes up to 0.5 s.
-const STILL: Duration = Duration::from_millis(700);
+/// Time between two checks that counts as a stall; well above the check interval on a slow VM.
+const STALL_THRESHOLD: Duration = Duration::from_millis(700);
 
-/// When this VM last looked, and when it last noticed that it had stood still.
 #[derive(Debug, Default)]
-pub(super) struct Stall {
-    looked: Cell<Option<(Instant, u64)>>,
-    noticed: Cell<Option<Instant>>,
+pub(super) struct StallDetector {
+    /// Monotonic time, and wall time in milliseconds.
+    last_check: Cell<Option<(Instant, u64)>>,
+    last_stall: Cell<Option<Instant>>,
 }
 
-impl Stall {
-    /// Looks at the clocks.
-    pub(super) fn look(&self) {
+impl StallDetector {
+    pub(super) fn check(&self) {
         let now = (Instant::now(), clock::wall_ms());
-        let Some(before) = self.looked.replace(Some(now)) else {
+        let Some(before) = self.last_check.replace(Some(now)) else {
             return;
         };
-        if since(before, now) >= STILL {
-            self.noticed.set(Some(now.0));
+        if elapsed_between(before, now) >= STALL_THRESHOLD {
+            self.last_stall.set(Some(now.0));
         }
     }
 
-    /// How long ago this VM noticed that it had stood still.
-    pub(super) fn ago(&self) -> Option<Duration> {
-        self.noticed.get().map(|noticed| noticed.elapsed())
+    /// Time since the last stall was detected; `None` if there was none.
+    pub(super) fn since_last_stall(&self) -> Option<Duration> {
+        self.last_stall.get().map(|detected| detected.elapsed())
     }
 }
 
-/// The time between two looks by the clock by which more has passed.
-pub(super) fn since(before: (Instant, u64), now: (Instant, u64)) -> Duration {
-    let steady = now.0.saturating_duration_since(before.0);
-    steady.max(Duration::from_millis(now.1.saturating_sub(before.1)))
+/// Time between two readings, by the clock (monotonic or wall) that advanced further.
+pub(super) fn elapsed_between(before: (Instant, u64), now: (Instant, u64)) -> Duration {
+    let monotonic = now.0.saturating_duration_since(before.0);
+    monotonic.max(Duration::from_millis(now.1.saturating_sub(before.1)))
 }
