--- a/src/gateway/limits/take.rs
+++ b/src/gateway/limits/take.rs
@@ -1,4 +1,4 @@
-//! Asks the VM that counts a team whether a request may go.
+//! Checks a request against its team's rate limit, at the VM that counts the team.
 
 use crate::code::{Code, Failure};
 use crate::gateway::Gateway;
@@ -9,16 +9,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// When a caller may come back whose team nobody can count now: a partition is taken over within that time.
-const COME_BACK: Duration = Duration::from_millis(500);
+/// `Retry-After` while no VM counts the team; a partition is taken over within that time.
+const NO_OWNER_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl Gateway {
-    /// Asks whether a request of a team may go; gives how long it has to wait before it is sent.
+    /// Counts a request against its team's limit; returns the delay before it may be sent.
     ///
     /// # Errors
-    /// [`Code::LimitReached`] where the team has used up its limit; [`Code::LogUnavailable`] where nobody can
-    /// tell now.
-    pub(crate) async fn take_from_limit(
+    /// [`Code::LimitReached`] if the team has used up its limit; [`Code::LogUnavailable`] if no VM can count
+    /// the team now.
+    pub(crate) async fn acquire_from_limit(
         self: &Rc<Self>,
         team: &Team,
         version: u64,
@@ -46,13 +46,15 @@
             Some((Reply::OverLimit { retry_ms }, _)) => {
                 self.metrics.over_limit(&team.name);
                 let failure =
-                    Failure::refused(Code::LimitReached, "the limit of the team is used up");
+                    Failure::refused(Code::LimitReached, "the team has used up its request limit");
                 Err(failure.retry_after(Duration::from_millis(retry_ms)))
             }
             _ => {
-                let failure =
-                    Failure::refused(Code::LogUnavailable, "nobody can count the team's requests");
-                Err(failure.retry_after(COME_BACK))
+                let failure = Failure::refused(
+                    Code::LogUnavailable,
+                    "no VM can count the requests of the team now",
+                );
+                Err(failure.retry_after(NO_OWNER_RETRY_AFTER))
             }
         }
     }
--- a/src/gateway/queue/lease.rs
+++ b/src/gateway/queue/lease.rs
@@ -1,11 +1,11 @@
-//! One queue for the servers of a service: the VM that holds it leases places to the others.
+//! One queue per service, shared by all VMs: the VM that owns it leases slots to the others.
 //!
-//! Each VM alone sees a small part of what a server runs. With windows of their own, requests wait at the servers,
-//! where no order can be kept, and programs are late long after a burst.
+//! With a queue on each VM, no VM knows the load of a server, so requests would queue at the servers, where they
+//! can't be prioritized.
 
 use crate::code::{Code, Failure};
 use crate::gateway::peers::{Asked, Peer, Question, Reply};
-use crate::gateway::queue::permit::{Held, Permit, Place, no_server, overloaded};
+use crate::gateway::queue::permit::{Permit, SlotGuard, SlotOwner, no_server, overloaded};
 use crate::gateway::{Gateway, peers};
 use crate::id::{self, rendezvous};
 use crate::policy::dispatch::{Ask, Outcome};
@@ -21,152 +21,156 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
-/// VMs that are asked for one place before this one decides alone.
-const ASKED: usize = 2;
-/// Places that are given back, since their server leaves or is not known here, before another VM is
-/// asked: directories are at most half a second apart.
-const UNUSABLE: usize = 3;
-/// A VM holds a queue if it has at least the strongest one's processor time divided by this: each
-/// request costs three datagrams there, up to 3,000 a second for all VMs of a deployment.
-const STRONG: u64 = 2;
-/// How long a lease goes on after its request must have ended: its end was told in a datagram
-/// that was lost, or the VM has ended.
-const OVERDUE: Duration = Duration::from_millis(300);
+/// Maximum VMs asked for a slot before this VM falls back to its own queue.
+const MAX_OWNERS_ASKED: usize = 2;
+/// Maximum slots rejected because their server is draining or unknown here, before the next VM is
+/// asked.
+const MAX_REJECTED_SLOTS: usize = 3;
+/// A VM may own a queue if it has at least the CPU share of the largest VM divided by this, since the
+/// owner handles the datagrams of all VMs.
+const MIN_CORES_DIVISOR: u64 = 2;
+/// How long a lease outlives the time limit of its request, if no release message arrives.
+const LEASE_GRACE: Duration = Duration::from_millis(300);
 
-/// A place that another VM uses.
+/// A slot in use by another VM.
 #[derive(Debug)]
 struct Lease {
     permit: Permit,
-    until: Instant,
+    expires: Instant,
 }
 
-/// What other VMs wait for and use.
+/// Slots that other VMs wait for or use.
 #[derive(Debug, Default)]
 pub(crate) struct Leases {
+    /// Waiting requests, each with a channel that cancels the wait.
     waiting: RefCell<HashMap<Asked, oneshot::Sender<()>>>,
     granted: RefCell<HashMap<Asked, Lease>>,
 }
 
 impl Leases {
-    /// A request is over, or waits no longer.
+    /// Cancels the wait of a request of another VM, or releases its slot.
     pub(crate) fn end(&self, asked: &Asked, outcome: Outcome) {
         let waiting = self.waiting.borrow_mut().remove(asked);
-        if let Some(waiting) = waiting {
-            // It may have been granted in this very moment; then it is found below.
-            let _ = waiting.send(());
+        if let Some(cancel) = waiting {
+            // Fails if the slot was granted meanwhile; then the lease is released below.
+            let _ = cancel.send(());
         }
         let lease = self.granted.borrow_mut().remove(asked);
         if let Some(lease) = lease {
-            lease.permit.end(outcome);
+            lease.permit.release(outcome);
         }
     }
 
-    fn server(&self, asked: &Asked) -> Option<Arc<str>> {
+    fn leased_server(&self, asked: &Asked) -> Option<Arc<str>> {
         let granted = self.granted.borrow();
         let lease = granted.get(asked)?;
         Some(Arc::clone(&lease.permit.server.id))
     }
 
-    /// How many requests of other VMs wait and run.
+    /// Number of requests of other VMs that wait, and of those that have a slot.
     pub(crate) fn len(&self) -> (usize, usize) {
         (self.waiting.borrow().len(), self.granted.borrow().len())
     }
 }
 
 impl Gateway {
-    /// The VMs that may hold the queue of a service, in this order; none where it is this one.
-    fn holders(&self, service: &str) -> Vec<Peer> {
+    /// VMs to ask for a slot of a service, best first; empty if this VM owns the queue or none of them answers.
+    fn queue_owners(&self, service: &str) -> Vec<Peer> {
         let view = self.view.borrow();
         let key = format!("dispatch/{service}");
         let ready = view.members.values().filter(|member| member.ready);
-        let strongest = ready.clone().map(|member| member.cores).max();
-        let enough = id::Millicores(strongest.unwrap_or_default().0 / STRONG);
+        let max_cores = ready.clone().map(|member| member.cores).max();
+        let min_cores = id::Millicores(max_cores.unwrap_or_default().0 / MIN_CORES_DIVISOR);
         let mut ranked: Vec<_> = ready
-            .filter(|member| member.cores >= enough)
+            .filter(|member| member.cores >= min_cores)
             .map(|member| (rendezvous(&key, member.vm.as_str()), member))
             .collect();
         ranked.sort_by_key(|(rank, _)| std::cmp::Reverse(*rank));
-        let before = ranked
+        let preferred = ranked
             .into_iter()
             .take_while(|(_, member)| member.vm != self.settings.vm);
-        let peers = before.map(|(_, member)| Peer {
+        let peers = preferred.map(|(_, member)| Peer {
             vm: member.vm.clone(),
             address: peers::address(member.address),
             ready: member.ready,
         });
         peers
             .filter(|peer| !self.peers.is_silent(peer.address))
-            .take(ASKED)
+            .take(MAX_OWNERS_ASKED)
             .collect()
     }
 
-    /// Waits for leave to send a request, from the VM that holds the queue of its service.
+    /// Waits for a permit from the VM that owns the queue of the service, or from this VM if no owner
+    /// answers.
     ///
     /// # Errors
-    /// [`Code::NoServer`] where the service has no server, [`Code::Overloaded`] where no server will
-    /// be free in time.
-    pub(crate) async fn permit_shared(self: &Rc<Self>, ask: &mut Ask) -> Result<Permit, Failure> {
-        for peer in self.holders(&ask.service) {
-            for _ in 0..UNUSABLE {
-                match self.acquire(peer.address, ask).await {
+    /// [`Code::NoServer`] if the service has no server, [`Code::Overloaded`] if none will be free in
+    /// time.
+    pub(crate) async fn acquire_shared_permit(
+        self: &Rc<Self>,
+        ask: &mut Ask,
+    ) -> Result<Permit, Failure> {
+        for peer in self.queue_owners(&ask.service) {
+            for _ in 0..MAX_REJECTED_SLOTS {
+                match self.acquire_from_peer(peer.address, ask).await {
                     None => break,
                     Some(Ok(permit)) => return Ok(permit),
-                    Some(Err(Unusable::Failure(failure))) => return Err(failure),
-                    Some(Err(Unusable::Server(server))) => ask.avoid.push(server),
+                    Some(Err(AcquireError::Failure(failure))) => return Err(failure),
+                    Some(Err(AcquireError::UnusableServer(server))) => ask.avoid.push(server),
                 }
             }
         }
-        self.permit(ask.clone()).await
+        self.acquire_local_permit(ask.clone()).await
     }
 
-    /// Asks one VM for a place; none where it does not answer.
-    async fn acquire(
+    /// Asks one VM for a slot; `None` if it does not answer or does not own the queue.
+    async fn acquire_from_peer(
         self: &Rc<Self>,
         peer: SocketAddr,
         ask: &Ask,
-    ) -> Option<Result<Permit, Unusable>> {
+    ) -> Option<Result<Permit, AcquireError>> {
         let number = self.peers.number();
-        let place = Place::new(Rc::clone(self), Held::There(peer, number));
+        let slot = SlotGuard::new(Rc::clone(self), SlotOwner::Remote(peer, number));
         let question = Question::Place(ask.clone());
         let reply = self.peers.ask_as(number, peer, &question).await?;
         let server = match reply {
             Reply::Placed(server) => server,
-            Reply::NoServer => return Some(Err(Unusable::Failure(no_server()))),
+            Reply::NoServer => return Some(Err(AcquireError::Failure(no_server()))),
             Reply::Full { retry_ms } => {
                 let failure = overloaded(Duration::from_millis(retry_ms));
-                return Some(Err(Unusable::Failure(failure)));
+                return Some(Err(AcquireError::Failure(failure)));
             }
             _ => return None,
         };
-        // Either VM may have heard later than the other that a server has come or leaves.
-        let known = self.world.borrow().server(&server);
-        Some(match known.filter(|entry| !entry.draining) {
-            Some(entry) => Ok(Permit::new(place, entry)),
-            None => Err(Unusable::Server(server)),
+        // The directory here may differ from that of the queue owner.
+        let entry = self.world.borrow().server(&server);
+        Some(match entry.filter(|entry| !entry.draining) {
+            Some(entry) => Ok(Permit::new(slot, entry)),
+            None => Err(AcquireError::UnusableServer(server)),
         })
     }
 
-    /// Leases a place to another VM, as soon as there is one.
+    /// Leases a slot to another VM, as soon as one is free.
     pub(crate) async fn lease_to(self: &Rc<Self>, asked: Asked, ask: Ask) -> Reply {
-        if let Some(server) = self.leases.server(&asked) {
-            // The answer before was lost.
+        if let Some(server) = self.leases.leased_server(&asked) {
+            // A repeated question, since the reply was lost.
             return Reply::Placed(server);
         }
         if !self.world.borrow().is_complete() {
-            // It has just started: the VM that comes next knows the servers.
+            // Just started with an incomplete directory; the caller asks the next VM.
             return Reply::NotOwner;
         }
         let limit = Duration::from_millis(ask.limit_ms);
-        let until = Instant::now() + limit + OVERDUE;
+        let expires = Instant::now() + limit + LEASE_GRACE;
         let (cancel, cancelled) = oneshot::channel();
         self.leases.waiting.borrow_mut().insert(asked, cancel);
-        let mut permit = pin!(self.permit(ask));
-        let at_once = tokio::select! {
+        let mut permit = pin!(self.acquire_local_permit(ask));
+        let immediate = tokio::select! {
             biased;
             permit = &mut permit => Some(permit),
             () = ready(()) => None,
         };
-        let permit = if let Some(permit) = at_once {
+        let permit = if let Some(permit) = immediate {
             permit
         } else {
             self.peers.tell_working(asked).await;
@@ -183,7 +187,7 @@
         match permit {
             Ok(permit) => {
                 let server = Arc::clone(&permit.server.id);
-                let lease = Lease { permit, until };
+                let lease = Lease { permit, expires };
                 self.leases.granted.borrow_mut().insert(asked, lease);
                 Reply::Placed(server)
             }
@@ -194,7 +198,7 @@
         }
     }
 
-    /// Takes places back whose request must have ended, or whose VM has gone.
+    /// Ends leases that have expired or whose VM is no longer a member.
     pub(crate) fn expire_leases(&self) {
         if self.leases.granted.borrow().is_empty() {
             return;
@@ -207,23 +211,23 @@
             .collect();
         let now = Instant::now();
         let granted = self.leases.granted.borrow();
-        let over = granted
+        let expired = granted
             .iter()
-            .filter(|((vm, _), lease)| lease.until <= now || !members.contains(vm));
-        let over: Vec<Asked> = over.map(|(asked, _)| *asked).collect();
+            .filter(|((vm, _), lease)| lease.expires <= now || !members.contains(vm));
+        let expired: Vec<Asked> = expired.map(|(asked, _)| *asked).collect();
         drop(granted);
-        if !over.is_empty() {
-            event!(info, "places_taken_back", places = over.len());
+        if !expired.is_empty() {
+            event!(info, "places_taken_back", places = expired.len());
         }
-        for asked in over {
+        for asked in expired {
             self.leases.end(&asked, Outcome::Void);
         }
     }
 }
 
-/// Why a place can't be used.
-enum Unusable {
+/// Why no slot could be acquired from a VM.
+enum AcquireError {
     Failure(Failure),
-    /// The server leaves, or is not known here.
-    Server(Arc<str>),
+    /// The slot's server is draining or unknown here.
+    UnusableServer(Arc<str>),
 }
--- a/src/gateway/queue/mod.rs
+++ b/src/gateway/queue/mod.rs
@@ -1,4 +1,4 @@
-//! Places at backend servers: those that this VM gives, and those that another VM leases to it.
+//! Slots at backend servers: granted by this VM's dispatcher, or leased from another VM.
 
 pub(crate) mod lease;
 pub(crate) mod permit;
--- a/src/gateway/queue/permit.rs
+++ b/src/gateway/queue/permit.rs
@@ -1,4 +1,4 @@
-//! Leave to send one request to one backend server.
+//! Permits to send one request to one backend server.
 
 use crate::code::{Code, Failure};
 use crate::gateway::Gateway;
@@ -18,18 +18,18 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// When a caller may come back whose service has no server: a replaced one takes about as long to
-/// register.
-const NO_SERVER: Duration = Duration::from_millis(400);
+/// `Retry-After` for a service without servers; about the time in which a replacement registers.
+const NO_SERVER_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// The windows of the backend servers, and the requests that wait.
+/// The dispatcher of this VM, and the requests that wait for it.
 #[derive(Debug, Default)]
 pub(crate) struct Desk {
     dispatcher: RefCell<Dispatcher>,
+    /// Notifies a waiting request of its server, or with `None` that it was refused.
     waiters: RefCell<HashMap<id::Permit, oneshot::Sender<Option<Id>>>>,
-    numbers: Cell<u64>,
-    /// The servers that the windows are of, by name.
-    known: RefCell<HashMap<Arc<str>, Arc<Entry>>>,
+    next_permit: Cell<u64>,
+    /// Directory entries of the servers that the dispatcher has, by server name.
+    entries: RefCell<HashMap<Arc<str>, Arc<Entry>>>,
 }
 
 fn describe(entry: &Entry, table: Option<&Table>) -> Description {
@@ -46,135 +46,135 @@
 }
 
 impl Desk {
-    /// Takes in the directory, and what the configuration says of its services.
+    /// Replaces the servers by those of a directory, with the service settings of `table`.
     pub(crate) fn configure(&self, directory: &Directory, table: Option<&Table>) {
         let descriptions = directory.iter().map(|entry| describe(entry, table));
         self.dispatcher.borrow_mut().configure(descriptions);
-        let known = directory
+        let entries = directory
             .iter()
             .map(|entry| (Arc::clone(&entry.name), Arc::clone(entry)));
-        *self.known.borrow_mut() = known.collect();
-        self.grant();
+        *self.entries.borrow_mut() = entries.collect();
+        self.grant_waiting();
     }
 
-    /// Takes in changes of the directory, under the same configuration.
+    /// Applies changes of the directory under an unchanged configuration.
     pub(crate) fn change(&self, changes: &[Change], table: Option<&Table>) {
-        let mut known = self.known.borrow_mut();
+        let mut entries = self.entries.borrow_mut();
         let mut dispatcher = self.dispatcher.borrow_mut();
         for change in changes {
-            let before = known.remove(change.name());
+            let previous = entries.remove(change.name());
             let Change::Set(entry) = change else {
-                if let Some(before) = before {
-                    dispatcher.remove(&before.service, &before.id);
+                if let Some(previous) = previous {
+                    dispatcher.remove(&previous.service, &previous.id);
                 }
                 continue;
             };
-            let same =
-                |before: &Arc<Entry>| before.id == entry.id && before.service == entry.service;
-            if let Some(before) = before.filter(|before| !same(before)) {
-                dispatcher.remove(&before.service, &before.id);
+            let same_server = |previous: &Arc<Entry>| {
+                previous.id == entry.id && previous.service == entry.service
+            };
+            if let Some(previous) = previous.filter(|previous| !same_server(previous)) {
+                dispatcher.remove(&previous.service, &previous.id);
             }
             dispatcher.set(describe(entry, table));
-            known.insert(Arc::clone(&entry.name), Arc::clone(entry));
+            entries.insert(Arc::clone(&entry.name), Arc::clone(entry));
         }
-        drop((known, dispatcher));
-        self.grant();
+        drop((entries, dispatcher));
+        self.grant_waiting();
     }
 
-    /// Requests that wait and requests that run at each server, by service.
+    /// Waiting requests and requests in flight at each server, by service.
     pub(crate) fn state(&self) -> serde_json::Value {
         self.dispatcher.borrow().state()
     }
 
-    fn grant(&self) {
+    fn grant_waiting(&self) {
         let granted = self.dispatcher.borrow_mut().grant(Instant::now());
         for (permit, server) in granted {
-            self.tell(permit, Some(server));
+            self.notify(permit, Some(server));
         }
     }
 
-    /// Tells a request that waits where it may go, or that it is given up.
-    fn tell(&self, permit: id::Permit, server: Option<Id>) {
+    /// Notifies a waiting request of its server, or with `None` that it was refused.
+    fn notify(&self, permit: id::Permit, server: Option<Id>) {
         let Some(waiter) = self.waiters.borrow_mut().remove(&permit) else {
             return;
         };
         if waiter.send(server).is_err() {
-            // Its caller has left; the guard of the wait gives the place back.
+            // The caller has disconnected; the `SlotGuard` releases the slot.
         }
     }
 
-    fn done(&self, number: id::Permit, outcome: Outcome) {
+    fn release(&self, permit: id::Permit, outcome: Outcome) {
         self.dispatcher
             .borrow_mut()
-            .done(Instant::now(), number, outcome);
-        self.waiters.borrow_mut().remove(&number);
-        self.grant();
+            .done(Instant::now(), permit, outcome);
+        self.waiters.borrow_mut().remove(&permit);
+        self.grant_waiting();
     }
 
-    /// Tells of the services for which requests wait.
+    /// Logs the load of the services that have waiting requests.
     pub(crate) fn log(&self) {
-        for crowd in self.dispatcher.borrow().loads(Instant::now()) {
+        for load in self.dispatcher.borrow().loads(Instant::now()) {
             event!(
                 info,
                 "requests_wait",
-                service = crowd.service,
-                in_time = crowd.in_time,
-                late = crowd.late,
-                past = crowd.past,
-                running = crowd.running,
-                places = crowd.places,
-                per_second = crowd.per_second,
-                programs = crowd.programs,
-                needs = format!("{:.2?}", crowd.needs)
+                service = load.service,
+                in_time = load.in_time,
+                late = load.late,
+                past = load.past,
+                running = load.running,
+                places = load.places,
+                per_second = load.per_second,
+                programs = load.programs,
+                needs = format!("{:.2?}", load.needs)
             );
         }
     }
 
-    /// Grants what a rested server can take again, and gives up what has waited in vain.
+    /// Grants slots at servers that recovered, and refuses requests that waited too long.
     pub(crate) fn tick(&self) {
         let Ticked { granted, refused } = self.dispatcher.borrow_mut().tick(Instant::now());
         for (permit, server) in granted {
-            self.tell(permit, Some(server));
+            self.notify(permit, Some(server));
         }
         for permit in refused {
-            self.tell(permit, None);
+            self.notify(permit, None);
         }
     }
 }
 
-/// Where a place is kept.
+/// The VM whose dispatcher counts a slot.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Held {
-    /// In the windows of this VM.
-    Here(id::Permit),
-    /// In those of another VM, under the number of the question for it.
-    There(SocketAddr, u64),
+pub(crate) enum SlotOwner {
+    Local(id::Permit),
+    /// Another VM; the number is that of the question sent to it.
+    Remote(SocketAddr, u64),
 }
 
-/// A place in the window of a server, or in the queue before it. Dropping it gives it back.
+/// A slot at a server, or a position in the queue for one. Dropping it releases it.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct SlotGuard {
     gateway: Rc<Gateway>,
-    held: Held,
+    owner: SlotOwner,
     outcome: Cell<Outcome>,
 }
 
-impl Place {
-    pub(crate) const fn new(gateway: Rc<Gateway>, held: Held) -> Self {
+impl SlotGuard {
+    pub(crate) const fn new(gateway: Rc<Gateway>, owner: SlotOwner) -> Self {
         Self {
             gateway,
-            held,
+            owner,
             outcome: Cell::new(Outcome::Void),
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         let outcome = self.outcome.get();
-        match self.held {
-            Held::Here(permit) => self.gateway.desk.done(permit, outcome),
-            Held::There(peer, number) => {
+        match self.owner {
+            SlotOwner::Local(permit) => self.gateway.desk.release(permit, outcome),
+            SlotOwner::Remote(peer, number) => {
                 let gateway = Rc::clone(&self.gateway);
                 let note = Note::Left { number, outcome };
                 tokio::task::spawn_local(async move { gateway.peers.tell(peer, note).await });
@@ -183,73 +183,76 @@
     }
 }
 
-/// Leave to send one request to one server.
+/// Permission to send one request to one server; dropping it releases the slot.
 #[derive(Debug)]
 pub(crate) struct Permit {
-    place: Place,
+    slot: SlotGuard,
     pub(crate) server: Arc<Entry>,
 }
 
 impl Permit {
-    pub(crate) const fn new(place: Place, server: Arc<Entry>) -> Self {
-        Self { place, server }
+    pub(crate) const fn new(slot: SlotGuard, server: Arc<Entry>) -> Self {
+        Self { slot, server }
     }
 
-    /// Tells how the request ended; without it nothing is learned.
-    pub(crate) fn end(self, outcome: Outcome) {
-        self.place.outcome.set(outcome);
+    /// Releases the slot and reports the outcome, from which the dispatcher learns.
+    pub(crate) fn release(self, outcome: Outcome) {
+        self.slot.outcome.set(outcome);
     }
 }
 
 impl Gateway {
-    /// Waits for leave to send a request, from the windows that this VM holds.
+    /// Waits for a permit from this VM's own dispatcher.
     ///
     /// # Errors
-    /// [`Code::NoServer`] where the service has no server, [`Code::Overloaded`] where no server will
-    /// be free in time.
-    pub(crate) async fn permit(self: &Rc<Self>, ask: Ask) -> Result<Permit, Failure> {
+    /// [`Code::NoServer`] if the service has no server, [`Code::Overloaded`] if none will be free in
+    /// time.
+    pub(crate) async fn acquire_local_permit(self: &Rc<Self>, ask: Ask) -> Result<Permit, Failure> {
         loop {
-            let permit = id::Permit(self.desk.numbers.get());
-            self.desk.numbers.set(permit.0 + 1);
+            let permit = id::Permit(self.desk.next_permit.get());
+            self.desk.next_permit.set(permit.0 + 1);
             let now = Instant::now();
             let verdict = self
                 .desk
                 .dispatcher
                 .borrow_mut()
                 .ask(now, permit, ask.clone());
-            let place = Place::new(Rc::clone(self), Held::Here(permit));
+            let slot = SlotGuard::new(Rc::clone(self), SlotOwner::Local(permit));
             let server = match verdict {
                 Verdict::Granted(server) => server,
                 Verdict::NoServer => return Err(no_server()),
-                Verdict::Refused(back) => return Err(overloaded(back)),
+                Verdict::Refused(retry_after) => return Err(overloaded(retry_after)),
                 Verdict::Waiting => {
-                    let (waiter, granted) = oneshot::channel();
+                    let (waiter, grant) = oneshot::channel();
                     self.desk.waiters.borrow_mut().insert(permit, waiter);
-                    let granted = granted.await.map_err(|_| no_server())?;
-                    granted.ok_or_else(|| overloaded(GIVEN_UP))?
+                    let server = grant.await.map_err(|_| no_server())?;
+                    server.ok_or_else(|| overloaded(GIVEN_UP))?
                 }
             };
-            let known = self.world.borrow().server(&server);
-            if let Some(server) = known {
-                return Ok(Permit { place, server });
+            let entry = self.world.borrow().server(&server);
+            if let Some(server) = entry {
+                return Ok(Permit { slot, server });
             }
         }
     }
 }
 
 impl World {
-    /// A registered server.
     pub(crate) fn server(&self, id: &Id) -> Option<Arc<Entry>> {
         self.directory.get(id).map(Arc::clone)
     }
 }
 
-/// A request that would wait in vain.
-pub(crate) fn overloaded(back: Duration) -> Failure {
-    let failure = Failure::refused(Code::Overloaded, "no server will be free in time");
-    failure.retry_after(back)
+/// The failure of a request for which no server will be free in time.
+pub(crate) fn overloaded(retry_after: Duration) -> Failure {
+    let failure = Failure::refused(
+        Code::Overloaded,
+        "no server will be free before the deadline",
+    );
+    failure.retry_after(retry_after)
 }
 
 pub(crate) fn no_server() -> Failure {
-    Failure::refused(Code::NoServer, "the service has no server now").retry_after(NO_SERVER)
+    Failure::refused(Code::NoServer, "the service has no registered server")
+        .retry_after(NO_SERVER_RETRY_AFTER)
 }
--- a/src/gateway/request/admit.rs
+++ b/src/gateway/request/admit.rs
@@ -1,6 +1,6 @@
-//! Reads a request and finds its route, or says why it goes no further.
+//! Validates a request, reads its body and finds its route, team and service.
 
-use super::identify::{claim, identify};
+use super::identify::{identify, scope_names};
 use super::job::Job;
 use crate::code::{Code, Failure};
 use crate::conversation;
@@ -19,18 +19,16 @@
 use tokio::time::{Instant, timeout_at};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a caller waits that does not say so.
-const WAIT: Duration = Duration::from_secs(30);
-/// When a caller may come back to a VM that does not know the configuration yet. It is known 20 ms
-/// after the start where the store answers; where it does not, callers that come back a few times
-/// only should still be there after an outage of some seconds.
-const NOT_READY: Duration = Duration::from_millis(900);
-/// What is left for the answer to reach the caller before it stops waiting.
-const WAY: Duration = Duration::from_millis(15);
-/// When a caller may come back that had better begin again.
-const AT_ONCE: Duration = Duration::from_millis(50);
+/// Timeout of a request without a deadline header.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
+/// `Retry-After` while no current configuration is known. Long enough that a few retries span a
+/// short store outage.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(900);
+/// Part of the caller's timeout reserved for the response to reach it.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
+/// `Retry-After` for a caller that must request a stream again from its first event.
+const RESTART_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Reads the request and finds its route.
 pub(super) async fn admit(
     gateway: &Rc<Gateway>,
     request: Request<Incoming>,
@@ -46,18 +44,21 @@
     let mut meta = Meta::of(&parts.headers);
     let table = gateway.world.borrow().table.clone();
     let Some(table) = table else {
-        let failure = Failure::refused(Code::NotReady, "no configuration is known yet");
-        return Err(failure.retry_after(NOT_READY));
+        let failure = Failure::refused(Code::NotReady, "no configuration has been loaded yet");
+        return Err(failure.retry_after(NOT_READY_RETRY_AFTER));
     };
     let host = parts.headers.get(header::HOST);
     let host = host.and_then(|host| host.to_str().ok()).unwrap_or_default();
     let Some(route) = table.find(host, parts.uri.path()) else {
-        return Err(no_route(gateway));
+        return Err(unknown_route(gateway));
     };
     let team = identify(gateway, &table, route, &mut parts.headers)?;
-    claim(&mut meta, &table, team.as_deref());
-    let wait = meta.wait.unwrap_or(WAIT).saturating_sub(WAY);
-    let deadline = arrived + wait.min(route.timeout);
+    scope_names(&mut meta, &table, team.as_deref());
+    let timeout = meta
+        .wait
+        .unwrap_or(DEFAULT_TIMEOUT)
+        .saturating_sub(RESPONSE_MARGIN);
+    let deadline = arrived + timeout.min(route.timeout);
     let limit = table.sizes.body_bytes;
     let body = timeout_at(deadline, Limited::new(body, limit).collect()).await;
     let body = match body {
@@ -68,18 +69,26 @@
                 "the body is larger than the limit",
             ));
         }
-        Ok(Err(_)) => return Err(Failure::refused(Code::BadBody, "the body was cut short")),
+        Ok(Err(_)) => {
+            return Err(Failure::refused(
+                Code::BadBody,
+                "the request body ended early",
+            ));
+        }
         Err(_) => {
             return Err(Failure::refused(
                 Code::DeadlinePassed,
-                "the body came too late",
+                "the request body did not arrive before the deadline",
             ));
         }
     };
-    let prev = prev_turn(route, &meta, &body)?;
-    let draw = xxh3_64(meta.program.as_deref().unwrap_or(&meta.id).as_bytes());
-    let Some(service) = route.service(draw) else {
-        return Err(Failure::refused(Code::NoServer, "the route leads nowhere"));
+    let prev = parse_prev_turn(route, &meta, &body)?;
+    let selector = xxh3_64(meta.program.as_deref().unwrap_or(&meta.id).as_bytes());
+    let Some(service) = route.service(selector) else {
+        return Err(Failure::refused(
+            Code::NoServer,
+            "the route has no target service",
+        ));
     };
     let engine = table
         .services
@@ -103,19 +112,19 @@
         deadline,
         allowance: RefCell::new(None),
         servers: RefCell::default(),
-        waited: Cell::default(),
-        allowed: Cell::default(),
-        limited: Cell::default(),
-        assembled: Cell::default(),
+        queue_time: Cell::default(),
+        reservation_time: Cell::default(),
+        limit_time: Cell::default(),
+        history_time: Cell::default(),
         kept: Cell::default(),
-        sent: Cell::new(false),
-        told: Cell::new(false),
-        events: Cell::new(0),
+        may_have_run: Cell::new(false),
+        end_recorded: Cell::new(false),
+        events_relayed: Cell::new(0),
     })
 }
 
-/// The turn that a request goes on from, where its route keeps turns.
-fn prev_turn(
+/// The previous turn named by the request, where the route stores turns.
+fn parse_prev_turn(
     route: &Route,
     meta: &Meta,
     input: &Bytes,
@@ -124,31 +133,40 @@
         return Ok(None);
     }
     if meta.last_event.is_some() {
-        // The caller has the first part of an answer that left no turn; what comes now would be half
-        // of one. From its start it is a turn.
-        let failure = Failure::refused(Code::HistoryAway, "a kept turn begins at its first event");
-        return Err(failure.retry_after(AT_ONCE));
+        // Resuming would store only the second part of the response as the turn.
+        let failure = Failure::refused(
+            Code::HistoryAway,
+            "a stored turn can't be resumed; request it from its first event",
+        );
+        return Err(failure.retry_after(RESTART_RETRY_AFTER));
     }
     if input.len() > INPUT_BYTES {
-        let failure = Failure::refused(Code::TooLarge, "the turn is larger than can be kept");
+        let failure = Failure::refused(Code::TooLarge, "the turn is too large to store");
         return Err(failure);
     }
     let Some(prev) = &meta.prev_turn else {
         return Ok(None);
     };
-    let malformed = |_| Failure::refused(Code::UnknownTurn, "no turn has such an identity");
+    let malformed = |_| {
+        Failure::refused(
+            Code::UnknownTurn,
+            "the ID of the previous turn is malformed",
+        )
+    };
     prev.parse().map(Some).map_err(malformed)
 }
 
-fn no_route(gateway: &Gateway) -> Failure {
-    // A route may have been added since; a 404 would end the caller's program.
-    behind(gateway).unwrap_or_else(|| Failure::refused(Code::UnknownRoute, "no route leads there"))
+fn unknown_route(gateway: &Gateway) -> Failure {
+    // A stale configuration may lack a new route, and callers do not retry a 404.
+    stale_config_failure(gateway).unwrap_or_else(|| {
+        Failure::refused(Code::UnknownRoute, "no route matches the host and path")
+    })
 }
 
-/// What is answered in place of a refusal for good where the configuration may be out of date.
-pub(super) fn behind(gateway: &Gateway) -> Option<Failure> {
+/// A retryable failure if the configuration may be out of date, instead of a permanent refusal.
+pub(super) fn stale_config_failure(gateway: &Gateway) -> Option<Failure> {
     gateway.is_behind().then(|| {
         let failure = Failure::refused(Code::NotReady, "the configuration may be out of date");
-        failure.retry_after(NOT_READY)
+        failure.retry_after(NOT_READY_RETRY_AFTER)
     })
 }
--- a/src/gateway/request/body.rs
+++ b/src/gateway/request/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! Body of a response to a caller.
 
 use bytes::Bytes;
 use http_body::{Frame, SizeHint};
@@ -7,53 +7,52 @@
 use std::task::{Context, Poll, ready};
 use tokio::sync::mpsc;
 
-/// Chunks that wait for a caller that reads slowly.
-const CHUNKS: usize = 16;
+/// Chunks buffered for a caller that reads slowly.
+const MAX_BUFFERED_CHUNKS: usize = 16;
 
-/// The answer can't be completed: the connection is closed so that it looks cut.
+/// The response can't be completed. The connection is closed, so that the caller sees a truncated body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Cut;
+pub(crate) struct Aborted;
 
-impl fmt::Display for Cut {
+impl fmt::Display for Aborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer was cut")
+        f.write_str("the response was aborted")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Aborted {}
 
-/// The body of an answer: all at once, or as it comes from a backend server.
 #[derive(Debug)]
 pub(crate) enum Body {
-    /// Known as a whole.
-    Whole(Option<Bytes>),
-    /// Passed on as it comes. The channel ends at the end of the answer.
-    Relayed(mpsc::Receiver<Result<Bytes, Cut>>),
+    /// All bytes are known; `None` if empty or already sent.
+    Full(Option<Bytes>),
+    /// Chunks arrive while they are sent. The channel closes at the end of the body.
+    Streamed(mpsc::Receiver<Result<Bytes, Aborted>>),
 }
 
 impl Body {
     pub(crate) fn whole(bytes: Bytes) -> Self {
-        Self::Whole((!bytes.is_empty()).then_some(bytes))
+        Self::Full((!bytes.is_empty()).then_some(bytes))
     }
 
-    /// A body, and where its chunks go.
-    pub(crate) fn relayed() -> (mpsc::Sender<Result<Bytes, Cut>>, Self) {
-        let (chunks, body) = mpsc::channel(CHUNKS);
-        (chunks, Self::Relayed(body))
+    /// Returns a streamed body and the sender for its chunks.
+    pub(crate) fn streamed() -> (mpsc::Sender<Result<Bytes, Aborted>>, Self) {
+        let (chunks, body) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+        (chunks, Self::Streamed(body))
     }
 }
 
 impl http_body::Body for Body {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Aborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Aborted>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Relayed(chunks) => {
+            Self::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Streamed(chunks) => {
                 let chunk = ready!(chunks.poll_recv(cx));
                 Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
             }
@@ -61,15 +60,15 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Relayed(_) => SizeHint::default(),
+            Self::Streamed(_) => SizeHint::default(),
         }
     }
 }
--- a/src/gateway/request/identify.rs
+++ b/src/gateway/request/identify.rs
@@ -1,19 +1,19 @@
-//! Which team a request is of, and what that changes of it.
+//! Identifies the team of a request and scopes the request's names to it.
 
 use crate::code::{Code, Failure};
 use crate::gateway::Gateway;
-use crate::gateway::request::admit::behind;
+use crate::gateway::request::admit::stale_config_failure;
 use crate::gateway::world::table::{Route, Table};
 use crate::gateway::world::team::{Team, scoped};
 use crate::platform::headers::{self, Meta};
 use http::HeaderMap;
 use std::sync::Arc;
 
-/// The team that holds the key of a request, which is taken out of its headers; none where there are no teams, or
-/// on a public route without a key.
+/// Removes the API key from the headers and returns the team that holds it; `None` where no teams are configured,
+/// or on a public route without a valid key.
 ///
 /// # Errors
-/// [`Code::UnknownKey`] where no team holds the key; [`Code::NotReady`] where this VM may not know of it yet.
+/// [`Code::UnknownKey`] if no team holds the key; [`Code::NotReady`] if the configuration may be out of date.
 pub(super) fn identify(
     gateway: &Gateway,
     table: &Table,
@@ -28,25 +28,25 @@
     if holder.is_some() || route.public {
         return Ok(holder);
     }
-    // It may have been added since; a 401 would end the caller's program.
-    if let Some(failure) = behind(gateway) {
+    // A stale configuration may lack a new key, and callers do not retry a 401.
+    if let Some(failure) = stale_config_failure(gateway) {
         return Err(failure);
     }
     Err(Failure::refused(
         Code::UnknownKey,
-        "no team holds the key of the request",
+        "no team holds the API key of the request",
     ))
 }
 
-/// Makes the names of a request its team's own.
+/// Prefixes the names in a request with its team.
 ///
-/// Two teams that choose the same name for a program would count on one token budget, and go on from each other's
-/// turns. Parts of prompts keep their names: engines keep one copy of a part for all.
-pub(super) fn claim(meta: &mut Meta, table: &Table, team: Option<&Team>) {
+/// Otherwise teams that choose the same program name would share a token budget and conversation turns. Names of prompt
+/// parts stay as they are, since engines cache each part once for all teams.
+pub(super) fn scope_names(meta: &mut Meta, table: &Table, team: Option<&Team>) {
     if table.teams.is_none() {
         return;
     }
-    // Without a key a name must not be a team's either.
+    // Requests without a key get an empty scope, so their names can't match a team's.
     let scope = Some(team.map_or("", |team| &*team.name));
     for name in [&mut meta.program, &mut meta.line, &mut meta.prev_turn] {
         *name = name.take().map(|name| scoped(scope, &name));
--- a/src/gateway/request/job.rs
+++ b/src/gateway/request/job.rs
@@ -1,4 +1,4 @@
-//! One request on its way: what it is, how long it has, and what is known of its fate.
+//! State of one in-flight request: its input, deadline, timings and result.
 
 use crate::conversation;
 use crate::gateway::Gateway;
@@ -16,85 +16,82 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request of a caller.
+/// An in-flight request of a caller.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) gateway: Rc<Gateway>,
     pub(crate) meta: Meta,
-    /// The team whose key it carries.
+    /// Team that holds the request's API key; `None` without configured teams, or on a public route without a valid key.
     pub(crate) team: Option<Arc<Team>>,
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<str>,
-    /// The version of the configuration that routed it.
+    /// Version of the configuration that selected the route.
     pub(crate) version: u64,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
-    /// What the caller sent.
+    /// Body as the caller sent it.
     pub(crate) input: Bytes,
-    /// What a server gets: the input, after what was said before where the system keeps that.
+    /// Body sent to the server: the input, preceded by the conversation history where turns are stored.
     pub(crate) body: RefCell<Bytes>,
-    /// The turn that it goes on from, where the system keeps turns.
+    /// Previous turn of the conversation, where the route stores turns.
     pub(crate) prev: Option<conversation::Id>,
     pub(crate) arrived: Instant,
-    /// When it gets its final answer at the latest.
     pub(crate) deadline: Instant,
-    /// Tokens of one event, where its service generates them.
+    /// Tokens in one event of the response; 0 where the service generates none.
     pub(crate) tokens_per_event: u64,
-    /// What the program allows this turn to generate.
+    /// Token reservation of this turn in the budget of its program.
     pub(crate) allowance: RefCell<Option<Allowance>>,
-    /// The servers that it was sent to, in this order.
+    /// Servers that a permit was obtained for, in order.
     pub(crate) servers: RefCell<Vec<Id>>,
-    /// How long it waited for places at servers.
-    pub(crate) waited: Cell<Duration>,
-    /// How long it waited for leave to generate tokens.
-    pub(crate) allowed: Cell<Duration>,
-    /// How long it waited for its team's limit.
-    pub(crate) limited: Cell<Duration>,
-    /// How long it waited for what was said before.
-    pub(crate) assembled: Cell<Duration>,
-    /// How long its end waited for its turn to be kept.
+    /// Time spent in queues for backend servers.
+    pub(crate) queue_time: Cell<Duration>,
+    /// Time spent on the token reservation.
+    pub(crate) reservation_time: Cell<Duration>,
+    /// Time spent on the team's rate limit, including the delay that it imposed.
+    pub(crate) limit_time: Cell<Duration>,
+    /// Time spent loading the conversation history.
+    pub(crate) history_time: Cell<Duration>,
+    /// Time for which the end of the response was held back while the turn was saved.
     pub(crate) kept: Cell<Duration>,
-    /// Whether a server may have run it.
-    pub(crate) sent: Cell<bool>,
-    /// Whether its end was told.
-    pub(crate) told: Cell<bool>,
-    /// Events that were passed on to the caller.
-    pub(crate) events: Cell<u64>,
+    /// Whether a server may have run the request.
+    pub(crate) may_have_run: Cell<bool>,
+    /// Whether the end was already logged and counted.
+    pub(crate) end_recorded: Cell<bool>,
+    /// Events of the response passed to the caller.
+    pub(crate) events_relayed: Cell<u64>,
 }
 
 impl Job {
-    /// What is left of its time.
-    pub(crate) fn left(&self) -> Duration {
+    /// Time until the deadline.
+    pub(crate) fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The name of its team, as servers get it.
     pub(crate) fn team_name(&self) -> Option<&str> {
         self.team.as_ref().map(|team| &*team.name)
     }
 
-    /// Its rank: its team's, or else its route's.
+    /// Priority rank: the team's, or else the route's.
     pub(crate) fn rank(&self) -> u8 {
         let team = self.team.as_ref().and_then(|team| team.rank);
         team.unwrap_or(self.route.rank)
     }
 
-    /// How long ago it arrived, in milliseconds.
     pub(crate) fn age_ms(&self) -> u64 {
         u64::try_from(self.arrived.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Tells how the request ended: a status, or why it was cut.
-    pub(crate) fn ended(&self, result: &str, good: bool) {
-        self.told.set(true);
+    /// Logs and counts the end of the request; `result` is an HTTP status or the reason for the abort.
+    pub(crate) fn record_end(&self, result: &str, succeeded: bool) {
+        self.end_recorded.set(true);
         let gateway = &self.gateway;
         let total = self.arrived.elapsed();
         gateway
             .metrics
             .answered(self.route.kind.name(), result.to_owned(), total);
-        gateway.metrics.waited(self.waited.get());
-        if good && !gateway.sampler.takes(&self.meta.id) {
+        gateway.metrics.waited(self.queue_time.get());
+        if succeeded && !gateway.sampler.takes(&self.meta.id) {
             return;
         }
         let allowance = self.allowance.borrow();
@@ -112,12 +109,12 @@
             program = self.meta.program.as_deref().unwrap_or_default(),
             turn = allowance.as_ref().map_or(0, |allowance| allowance.turns),
             parts = self.meta.prompt.len(),
-            events = self.events.get(),
-            waited_ms = self.waited.get().as_millis(),
-            allowed_ms = self.allowed.get().as_millis(),
-            limited_ms = self.limited.get().as_millis(),
+            events = self.events_relayed.get(),
+            waited_ms = self.queue_time.get().as_millis(),
+            allowed_ms = self.reservation_time.get().as_millis(),
+            limited_ms = self.limit_time.get().as_millis(),
             prev = self.prev.as_ref().map_or("", conversation::Id::as_str),
-            history_ms = self.assembled.get().as_millis(),
+            history_ms = self.history_time.get().as_millis(),
             kept_ms = self.kept.get().as_millis(),
             total_ms = total.as_millis(),
             limit_ms = self
@@ -129,15 +126,15 @@
 }
 
 impl Drop for Job {
-    /// However it ended, what was not handed out is the program's again.
+    /// Returns unused tokens to the program's budget.
     fn drop(&mut self) {
-        if !self.told.get() {
-            self.ended("caller_left", false);
+        if !self.end_recorded.get() {
+            self.record_end("caller_left", false);
         }
         let Some(allowance) = self.allowance.take() else {
             return;
         };
-        let used = self.events.get() * self.tokens_per_event;
+        let used = self.events_relayed.get() * self.tokens_per_event;
         let gateway = Rc::clone(&self.gateway);
         tokio::task::spawn_local(async move { gateway.settle(allowance, used).await });
     }
--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -1,4 +1,4 @@
-//! The life of one request, from its head to its last byte.
+//! Handles one caller request: admission, limits, dispatch to a backend server, and the response.
 
 mod admit;
 pub(crate) mod body;
@@ -11,7 +11,7 @@
 use crate::conversation::prompt;
 use crate::gateway::Gateway;
 use crate::gateway::queue::permit::Permit;
-use crate::gateway::server::attempt::{Answer, Attempt, attempt};
+use crate::gateway::server::attempt::{AttemptResult, BufferedResponse, attempt};
 use crate::platform::headers::Meta;
 use crate::policy::dispatch::{Ask, Outcome};
 use crate::policy::quota;
@@ -29,12 +29,11 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Servers that are asked for one request, those that turn it away among them.
-const TRIES: usize = 6;
-/// When a caller may come back whose request no server took.
-const TURNED_AWAY: Duration = Duration::from_millis(500);
+/// Maximum servers tried for one request, including those that refuse it.
+const MAX_SERVER_TRIES: usize = 6;
+/// `Retry-After` when no server accepted the request.
+const NOT_ACCEPTED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Answers one request of a caller.
 pub(crate) async fn handle(
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
@@ -44,13 +43,13 @@
     let mut response = match admit(&gateway, request, arrived).await {
         Ok(job) => {
             let job = Rc::new(job);
-            let reply = match timeout_at(job.deadline, run(&job)).await {
+            let reply = match timeout_at(job.deadline, dispatch(&job)).await {
                 Ok(reply) => reply,
-                Err(_) => Err(late(&job)),
+                Err(_) => Err(deadline_failure(&job)),
             };
             reply.unwrap_or_else(|failure| {
-                job.ended(&failure.code.to_string(), false);
-                reply::failure(&job.meta.id, &failure)
+                job.record_end(&failure.code.to_string(), false);
+                reply::error_response(&job.meta.id, &failure)
             })
         }
         Err(failure) => {
@@ -61,7 +60,7 @@
                 code = failure.code,
                 reason = failure.message
             );
-            reply::failure(&id, &failure)
+            reply::error_response(&id, &failure)
         }
     };
     if gateway.stopping.get() {
@@ -71,136 +70,144 @@
     Ok(response)
 }
 
-/// What is answered when the time is over.
-fn late(job: &Job) -> Failure {
-    if job.sent.get() {
-        reply::unknown(Code::DeadlinePassed, "no server answered in time")
-    } else if job.prev.is_some() && job.assembled.get().is_zero() {
-        let failure = Failure::refused(Code::HistoryAway, "what was said before came too late");
-        failure.retry_after(TURNED_AWAY)
+/// The failure reported when the deadline passes.
+fn deadline_failure(job: &Job) -> Failure {
+    if job.may_have_run.get() {
+        reply::outcome_unknown(Code::DeadlinePassed, "no server answered in time")
+    } else if job.prev.is_some() && job.history_time.get().is_zero() {
+        let failure = Failure::refused(
+            Code::HistoryAway,
+            "the conversation history was not loaded in time",
+        );
+        failure.retry_after(NOT_ACCEPTED_RETRY_AFTER)
     } else {
-        let failure = Failure::refused(Code::Overloaded, "no server was free in time");
-        failure.retry_after(TURNED_AWAY)
+        let failure = Failure::refused(
+            Code::Overloaded,
+            "no server became free before the deadline",
+        );
+        failure.retry_after(NOT_ACCEPTED_RETRY_AFTER)
     }
 }
 
-/// Sends the request until a server answers it.
-async fn run(job: &Rc<Job>) -> Result<Response<Body>, Failure> {
-    // First, since a turn that the limit refuses must not hold tokens of its program's budget: asked for at the same
-    // time, the answer was on its way when the turn was refused, and nobody gave the tokens back. It takes 2 ms.
-    sleep(take(job).await?).await;
-    // Both before anything is sent, and at once: a turn's target leaves 30 ms for all of its way.
-    tokio::try_join!(allow(job), assemble(job))?;
+/// Sends the request to one server after another until one responds.
+async fn dispatch(job: &Rc<Job>) -> Result<Response<Body>, Failure> {
+    // The rate limit goes first: a turn that it refuses must not leave a token reservation behind.
+    sleep(check_limit(job).await?).await;
+    // Concurrent to save latency; both must finish before the request is sent.
+    tokio::try_join!(reserve_tokens(job), prepend_history(job))?;
     let mut avoid = Vec::new();
-    let mut ran = 0;
-    for _ in 0..TRIES {
-        let permit = wait(job, &avoid).await?;
+    let mut possible_runs = 0;
+    for _ in 0..MAX_SERVER_TRIES {
+        let permit = acquire_permit(job, &avoid).await?;
         let server = Arc::clone(&permit.server.id);
         let mut outcome = attempt(job, &permit, job.meta.last_event).await;
-        if matches!(outcome, Attempt::Lost(_)) && job.route.idempotent() {
-            ran += 1;
-            // The same server does not count twice among those that a request may run on.
-            if ran >= job.route.attempts {
-                log_attempt(job, &server, &outcome);
+        if matches!(outcome, AttemptResult::OutcomeUnknown(_)) && job.route.idempotent() {
+            possible_runs += 1;
+            // The last server gets one repeat, which does not count as another attempt.
+            if possible_runs >= job.route.attempts {
+                log_failed_attempt(job, &server, &outcome);
                 outcome = attempt(job, &permit, job.meta.last_event).await;
             }
         }
-        log_attempt(job, &server, &outcome);
+        log_failed_attempt(job, &server, &outcome);
         match outcome {
-            Attempt::Answer(answer) => return Ok(whole(job, permit, answer)),
-            Attempt::Stream(stream) => return Ok(relay(job, permit, *stream)),
-            Attempt::Lost(reason) if !job.route.idempotent() => {
-                permit.end(Outcome::Failed);
-                return Err(reply::unknown(Code::OutcomeUnknown, reason));
+            AttemptResult::Response(response) => return Ok(complete(job, permit, response)),
+            AttemptResult::Stream(stream) => return Ok(relay(job, permit, *stream)),
+            AttemptResult::OutcomeUnknown(reason) if !job.route.idempotent() => {
+                permit.release(Outcome::Failed);
+                return Err(reply::outcome_unknown(Code::OutcomeUnknown, reason));
             }
-            Attempt::Lost(reason) if ran >= job.route.attempts => {
-                permit.end(Outcome::Failed);
-                return Err(reply::unknown(Code::ServiceFailed, reason));
+            AttemptResult::OutcomeUnknown(reason) if possible_runs >= job.route.attempts => {
+                permit.release(Outcome::Failed);
+                return Err(reply::outcome_unknown(Code::ServiceFailed, reason));
             }
-            other => permit.end(other.outcome()),
+            other => permit.release(other.outcome()),
         }
         avoid.push(server);
     }
-    if job.sent.get() {
-        return Err(reply::unknown(Code::ServiceFailed, "no server answered"));
+    if job.may_have_run.get() {
+        return Err(reply::outcome_unknown(
+            Code::ServiceFailed,
+            "no server answered",
+        ));
     }
-    let failure = Failure::refused(Code::Overloaded, "no server took the request");
-    Err(failure.retry_after(TURNED_AWAY))
+    let failure = Failure::refused(Code::Overloaded, "no server accepted the request");
+    Err(failure.retry_after(NOT_ACCEPTED_RETRY_AFTER))
 }
 
-/// Waits for a place at a server that has not failed the request.
-async fn wait(job: &Rc<Job>, avoid: &[Arc<str>]) -> Result<Permit, Failure> {
-    let began = Instant::now();
-    let mut ask = ask(job, avoid);
-    // Plain services have room; the queue before engines is one for all VMs.
+/// Waits for a permit at a server that is not in `avoid`.
+async fn acquire_permit(job: &Rc<Job>, avoid: &[Arc<str>]) -> Result<Permit, Failure> {
+    let started = Instant::now();
+    let mut ask = dispatch_ask(job, avoid);
+    // Only services that generate tokens share one queue across all VMs.
     let permit = if job.tokens_per_event > 0 {
-        job.gateway.permit_shared(&mut ask).await
+        job.gateway.acquire_shared_permit(&mut ask).await
     } else {
-        job.gateway.permit(ask).await
+        job.gateway.acquire_local_permit(ask).await
     };
-    job.waited.set(job.waited.get() + began.elapsed());
+    job.queue_time.set(job.queue_time.get() + started.elapsed());
     if let Ok(permit) = &permit {
         job.servers.borrow_mut().push(Arc::clone(&permit.server.id));
     }
     permit
 }
 
-/// Puts what was said before in front of what the caller sent.
-async fn assemble(job: &Job) -> Result<(), Failure> {
+/// Prepends the stored conversation history to the caller's input.
+async fn prepend_history(job: &Job) -> Result<(), Failure> {
     let Some(prev) = &job.prev else {
         return Ok(());
     };
-    let began = Instant::now();
+    let started = Instant::now();
     let turns = job.gateway.history(prev).await;
-    job.assembled.set(began.elapsed());
-    job.gateway.metrics.assembled(began.elapsed());
+    job.history_time.set(started.elapsed());
+    job.gateway.metrics.assembled(started.elapsed());
     job.body.replace(prompt(&turns?, &job.input));
     Ok(())
 }
 
-/// Takes the request out of its team's limit; gives how long it has to wait for that.
-async fn take(job: &Job) -> Result<Duration, Failure> {
+/// Counts the request against its team's rate limit; returns the delay before it may be sent.
+async fn check_limit(job: &Job) -> Result<Duration, Failure> {
     let Some(team) = &job.team else {
         return Ok(Duration::ZERO);
     };
-    let begins = job.tokens_per_event > 0;
+    let starts_program = job.tokens_per_event > 0;
     let request = quota::Request {
         program: job.meta.program.as_ref().map(|program| hash(program)),
-        class: begins.then(|| hash(&job.route.name)),
-        // Beyond that what is left does not suffice for its server.
-        patience: job.left() / 2,
+        class: starts_program.then(|| hash(&job.route.name)),
+        // The rest of the time is for the backend server.
+        patience: job.remaining() / 2,
     };
-    let began = Instant::now();
-    let pause = job
+    let started = Instant::now();
+    let delay = job
         .gateway
-        .take_from_limit(team, job.version, request)
+        .acquire_from_limit(team, job.version, request)
         .await;
-    job.limited
-        .set(began.elapsed() + pause.as_ref().copied().unwrap_or_default());
-    job.gateway.metrics.limited(began.elapsed());
-    pause
+    job.limit_time
+        .set(started.elapsed() + delay.as_ref().copied().unwrap_or_default());
+    job.gateway.metrics.limited(started.elapsed());
+    delay
 }
 
-/// Gets leave for the tokens of a turn, before anything of it is sent.
-async fn allow(job: &Job) -> Result<(), Failure> {
+/// Reserves the turn's tokens in the budget of its program.
+async fn reserve_tokens(job: &Job) -> Result<(), Failure> {
     let (Some(program), Some(budget)) = (&job.meta.program, job.meta.budget) else {
         return Ok(());
     };
     if job.tokens_per_event == 0 {
         return Ok(());
     }
-    let events = job.meta.most_tokens.div_ceil(job.tokens_per_event);
-    let most = events * job.tokens_per_event;
-    let began = Instant::now();
-    let allowance = job.gateway.reserve(program, budget, most).await;
-    job.allowed.set(began.elapsed());
-    job.gateway.metrics.allowed(began.elapsed());
+    let max_events = job.meta.most_tokens.div_ceil(job.tokens_per_event);
+    let max_tokens = max_events * job.tokens_per_event;
+    let started = Instant::now();
+    let allowance = job.gateway.reserve(program, budget, max_tokens).await;
+    job.reservation_time.set(started.elapsed());
+    job.gateway.metrics.allowed(started.elapsed());
     let allowance = allowance?;
     job.allowance.replace(Some(allowance));
     Ok(())
 }
 
-fn ask(job: &Job, avoid: &[Arc<str>]) -> Ask {
+fn dispatch_ask(job: &Job, avoid: &[Arc<str>]) -> Ask {
     let age_ms = i64::try_from(job.age_ms()).unwrap_or(i64::MAX);
     let objective_ms = i64::try_from(job.route.objective.as_millis()).unwrap_or(i64::MAX);
     let allowance = job.allowance.borrow();
@@ -212,7 +219,7 @@
         program: job.meta.program.as_ref().map(|program| hash(program)),
         turns: allowance.as_ref().map_or(0, |allowance| allowance.turns),
         left_ms: job.meta.finish_ms.unwrap_or(objective_ms) - age_ms,
-        limit_ms: u64::try_from(job.left().as_millis()).unwrap_or(u64::MAX),
+        limit_ms: u64::try_from(job.remaining().as_millis()).unwrap_or(u64::MAX),
         line: job.meta.line.as_ref().map(|line| hash(line)),
         prompt: job.meta.prompt.clone(),
         avoid: avoid.to_vec(),
@@ -223,11 +230,11 @@
     xxh3_64(name.as_bytes())
 }
 
-fn log_attempt(job: &Job, server: &str, attempt: &Attempt) {
-    let reason = match attempt {
-        Attempt::Answer(_) | Attempt::Stream(_) => return,
-        Attempt::NotRun(reason) | Attempt::Lost(reason) => reason,
-        Attempt::Unreachable => "unreachable",
+fn log_failed_attempt(job: &Job, server: &str, outcome: &AttemptResult) {
+    let reason = match outcome {
+        AttemptResult::Response(_) | AttemptResult::Stream(_) => return,
+        AttemptResult::NotRun(reason) | AttemptResult::OutcomeUnknown(reason) => reason,
+        AttemptResult::Unreachable => "unreachable",
     };
     job.gateway.metrics.attempt_failed(reason);
     event!(
@@ -242,19 +249,19 @@
     );
 }
 
-fn whole(job: &Job, permit: Permit, answer: Answer) -> Response<Body> {
-    job.ended(answer.status.as_str(), answer.status.is_success());
-    permit.end(if answer.status.is_server_error() {
+fn complete(job: &Job, permit: Permit, response: BufferedResponse) -> Response<Body> {
+    job.record_end(response.status.as_str(), response.status.is_success());
+    permit.release(if response.status.is_server_error() {
         Outcome::Error
     } else {
         Outcome::Done {
-            took: job.arrived.elapsed().saturating_sub(job.waited.get()),
+            took: job.arrived.elapsed().saturating_sub(job.queue_time.get()),
             work: 1.0,
-            load: answer.load,
+            load: response.load,
         }
     });
-    let mut response = Response::new(Body::whole(answer.body));
-    *response.status_mut() = answer.status;
-    *response.headers_mut() = answer.headers;
-    response
+    let mut reply = Response::new(Body::whole(response.body));
+    *reply.status_mut() = response.status;
+    *reply.headers_mut() = response.headers;
+    reply
 }
--- a/src/gateway/request/reply.rs
+++ b/src/gateway/request/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of our own.
+//! Error responses that the gateway produces itself.
 
 use crate::code::{Code, Failure, Ran};
 use crate::gateway::request::body::Body;
@@ -7,20 +7,20 @@
 use http::{HeaderValue, Response, StatusCode, header};
 use std::time::Duration;
 
-/// The answer that tells a caller of a failure.
+/// Builds the response for a failure.
 ///
-/// A status by which callers repeat a request is used only for one that has not run.
-pub(crate) fn failure(id: &str, failure: &Failure) -> Response<Body> {
+/// A status on which callers retry is only used if the request has not run.
+pub(crate) fn error_response(id: &str, failure: &Failure) -> Response<Body> {
     let code = failure.code;
     let status = match (failure.ran, code.status()) {
         (Ran::No, status) => status,
         (_, 502 | 504 | 500) => code.status(),
         (_, _) => 502,
     };
-    let text = serde_json::to_vec(failure).unwrap_or_default();
-    let mut reply = Response::new(Body::whole(Bytes::from(text)));
-    *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-    let headers = reply.headers_mut();
+    let body = serde_json::to_vec(failure).unwrap_or_default();
+    let mut response = Response::new(Body::whole(Bytes::from(body)));
+    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
+    let headers = response.headers_mut();
     headers.insert(
         header::CONTENT_TYPE,
         HeaderValue::from_static("application/json"),
@@ -28,14 +28,14 @@
     if let Some((name, value)) = headers::echo(id) {
         headers.insert(name, value);
     }
-    if let Some(after) = failure.retry_after_ms {
-        let (name, value) = headers::come_back(Duration::from_millis(after));
+    if let Some(retry_after_ms) = failure.retry_after_ms {
+        let (name, value) = headers::come_back(Duration::from_millis(retry_after_ms));
         headers.insert(name, value);
     }
-    reply
+    response
 }
 
-/// A failure after which the request may have run.
-pub(crate) fn unknown(code: Code, message: &str) -> Failure {
+/// A failure of a request that a server may have run.
+pub(crate) fn outcome_unknown(code: Code, message: &str) -> Failure {
     Failure::refused(code, message).ran(Ran::Unknown)
 }
--- a/src/gateway/request/stream.rs
+++ b/src/gateway/request/stream.rs
@@ -1,12 +1,12 @@
-//! Passes the events of a stream on to its caller, from one server after another where one breaks off.
+//! Relays an event stream to its caller, and resumes it if a server breaks it off.
 
-use super::body::{Body, Cut};
+use super::acquire_permit;
+use super::body::{Aborted, Body};
 use super::job::Job;
-use super::wait;
 use crate::conversation::Transcript;
 use crate::gateway::queue::permit::Permit;
-use crate::gateway::server::attempt::{Attempt, Next, Source, Stream, attempt};
-use crate::gateway::server::event::Batch;
+use crate::gateway::server::attempt::{AttemptResult, EventSource, Stream, StreamItem, attempt};
+use crate::gateway::server::event::EventBatch;
 use crate::policy::dispatch::Outcome;
 use crate::telemetry::event;
 use bytes::Bytes;
@@ -15,186 +15,209 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// How often a stream may go on after a break.
-const RESUMES: usize = 4;
+/// Maximum resumptions of one stream.
+const MAX_RESUMES: usize = 4;
 
-/// Begins the answer of a stream, whose events follow as they come.
+/// Returns the head of a streamed response and spawns a task that relays the events.
 pub(super) fn relay(job: &Rc<Job>, permit: Permit, stream: Stream) -> Response<Body> {
-    let (chunks, body) = Body::relayed();
+    let (chunks, body) = Body::streamed();
     let mut response = Response::new(body);
     *response.status_mut() = stream.status;
     *response.headers_mut() = stream.headers;
-    let pump = Pump {
+    let stream_relay = StreamRelay {
         job: Rc::clone(job),
         permit,
         source: stream.source,
-        last: job.meta.last_event,
-        said: job.route.keeps_turns.then(Transcript::default),
+        last_event: job.meta.last_event,
+        transcript: job.route.keeps_turns.then(Transcript::default),
         chunks,
     };
-    tokio::task::spawn_local(pump.run(stream.first));
+    tokio::task::spawn_local(stream_relay.run(stream.first));
     response
 }
 
-/// Passes the events of a stream on, from one server after another where one breaks off.
 #[derive(Debug)]
-struct Pump {
+struct StreamRelay {
     job: Rc<Job>,
     permit: Permit,
-    source: Source,
-    /// The last event that was passed on.
-    last: Option<u64>,
-    /// What was said, where the system keeps turns.
-    said: Option<Transcript>,
-    chunks: mpsc::Sender<Result<Bytes, Cut>>,
+    source: EventSource,
+    /// ID of the last event received, for resuming after it.
+    last_event: Option<u64>,
+    /// Response so far, where the route stores turns.
+    transcript: Option<Transcript>,
+    chunks: mpsc::Sender<Result<Bytes, Aborted>>,
 }
 
-/// How a stream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
-    Whole,
+enum StreamEnd {
+    Complete,
     CallerLeft,
-    Late,
+    DeadlinePassed,
+    /// The server broke off, with this reason.
     Broken(&'static str),
 }
 
-impl Pump {
-    async fn run(mut self, first: Option<Batch>) {
+impl StreamRelay {
+    async fn run(mut self, first: Option<EventBatch>) {
         let mut end = match first {
-            Some(batch) => self.pass(batch).await,
-            None => Some(End::Whole),
+            Some(batch) => self.forward(batch).await,
+            None => Some(StreamEnd::Complete),
         };
         let mut resumes = 0;
         let chunks = self.chunks.clone();
         while end.is_none() {
             let next = tokio::select! {
                 next = self.source.next() => next,
-                () = chunks.closed() => { end = Some(End::CallerLeft); break },
-                () = tokio::time::sleep_until(self.job.deadline) => { end = Some(End::Late); break },
+                () = chunks.closed() => { end = Some(StreamEnd::CallerLeft); break },
+                () = tokio::time::sleep_until(self.job.deadline) => {
+                    end = Some(StreamEnd::DeadlinePassed);
+                    break
+                },
             };
             end = match next {
-                Next::Events(batch) => self.pass(batch).await,
-                Next::End => Some(End::Whole),
-                Next::Broken(reason) if resumes >= RESUMES || !self.job.route.resumable => {
-                    Some(End::Broken(reason))
+                StreamItem::Events(batch) => self.forward(batch).await,
+                StreamItem::End => Some(StreamEnd::Complete),
+                StreamItem::Broken(reason)
+                    if resumes >= MAX_RESUMES || !self.job.route.resumable =>
+                {
+                    Some(StreamEnd::Broken(reason))
                 }
-                Next::Broken(reason) => {
+                StreamItem::Broken(reason) => {
                     resumes += 1;
                     self.resume(reason).await
                 }
             };
         }
-        self.finish(end.unwrap_or(End::Whole)).await;
+        self.finish(end.unwrap_or(StreamEnd::Complete)).await;
     }
 
-    async fn pass(&mut self, batch: Batch) -> Option<End> {
-        self.last = batch.last.or(self.last);
+    /// Sends a batch of events to the caller; returns `Some` if that ended the stream.
+    async fn forward(&mut self, batch: EventBatch) -> Option<StreamEnd> {
+        self.last_event = batch.last_id.or(self.last_event);
         let job = &self.job;
-        job.events.set(job.events.get() + batch.events);
-        if let Some(said) = &mut self.said {
-            said.push(&batch.bytes);
+        job.events_relayed
+            .set(job.events_relayed.get() + batch.events);
+        if let Some(transcript) = &mut self.transcript {
+            transcript.push(&batch.bytes);
         }
         let sent = tokio::time::timeout_at(job.deadline, self.chunks.send(Ok(batch.bytes))).await;
         match sent {
             Ok(Ok(())) => None,
-            Ok(Err(_)) => Some(End::CallerLeft),
-            Err(_) => Some(End::Late),
+            Ok(Err(_)) => Some(StreamEnd::CallerLeft),
+            Err(_) => Some(StreamEnd::DeadlinePassed),
         }
     }
 
-    /// Goes on from the last whole event: at the same server, which does not count twice among
-    /// those that the request may run on, or at another one if it has ended.
-    async fn resume(&mut self, reason: &'static str) -> Option<End> {
+    /// Resumes after the last complete event, at the same server or, if that is unreachable, at another one.
+    async fn resume(&mut self, reason: &'static str) -> Option<StreamEnd> {
         let chunks = self.chunks.clone();
         let job = Rc::clone(&self.job);
-        let work = self.resume_somewhere(reason);
+        let resuming = self.resume_at_server(reason);
         tokio::select! {
-            end = work => end,
-            () = chunks.closed() => Some(End::CallerLeft),
-            () = tokio::time::sleep_until(job.deadline) => Some(End::Late),
+            end = resuming => end,
+            () = chunks.closed() => Some(StreamEnd::CallerLeft),
+            () = tokio::time::sleep_until(job.deadline) => Some(StreamEnd::DeadlinePassed),
         }
     }
 
-    async fn resume_somewhere(&mut self, reason: &'static str) -> Option<End> {
-        let mut again = attempt(&self.job, &self.permit, self.last).await;
-        log_resume(&self.job, &self.permit.server.id, reason, &again, self.last);
-        if matches!(again, Attempt::Unreachable) {
+    async fn resume_at_server(&mut self, reason: &'static str) -> Option<StreamEnd> {
+        let mut resumed = attempt(&self.job, &self.permit, self.last_event).await;
+        log_resume(
+            &self.job,
+            &self.permit.server.id,
+            reason,
+            &resumed,
+            self.last_event,
+        );
+        if matches!(resumed, AttemptResult::Unreachable) {
             let avoid = [Arc::clone(&self.permit.server.id)];
-            match wait(&self.job, &avoid).await {
+            match acquire_permit(&self.job, &avoid).await {
                 Ok(permit) => {
-                    let ended = std::mem::replace(&mut self.permit, permit);
-                    ended.end(Outcome::Failed);
+                    let failed = std::mem::replace(&mut self.permit, permit);
+                    failed.release(Outcome::Failed);
                 }
-                Err(_) => return Some(End::Broken(reason)),
+                Err(_) => return Some(StreamEnd::Broken(reason)),
             }
-            again = attempt(&self.job, &self.permit, self.last).await;
-            log_resume(&self.job, &self.permit.server.id, reason, &again, self.last);
+            resumed = attempt(&self.job, &self.permit, self.last_event).await;
+            log_resume(
+                &self.job,
+                &self.permit.server.id,
+                reason,
+                &resumed,
+                self.last_event,
+            );
         }
-        let Attempt::Stream(stream) = again else {
-            return Some(End::Broken(reason));
+        let AttemptResult::Stream(stream) = resumed else {
+            return Some(StreamEnd::Broken(reason));
         };
         self.source = stream.source;
         match stream.first {
-            Some(batch) => self.pass(batch).await,
-            None => Some(End::Whole),
+            Some(batch) => self.forward(batch).await,
+            None => Some(StreamEnd::Complete),
         }
     }
 
-    async fn finish(self, end: End) {
+    async fn finish(self, end: StreamEnd) {
         let Self {
             job,
             permit,
             source,
-            said,
+            transcript,
             chunks,
             ..
         } = self;
-        if end == End::Whole {
-            let (took, load) = (source.began.elapsed(), source.load);
+        if end == StreamEnd::Complete {
+            let (took, load) = (source.started.elapsed(), source.load);
             source.finish(&job);
-            permit.end(Outcome::Done {
+            permit.release(Outcome::Done {
                 took,
-                work: (job.events.get() + 1) as f64,
+                work: (job.events_relayed.get() + 1) as f64,
                 load,
             });
-            let kept = keep(&job, said).await;
-            job.ended(if kept { "200" } else { "cut:not_kept" }, kept);
-            if !kept {
-                drop(chunks.send(Err(Cut)).await);
+            let saved = save_turn(&job, transcript).await;
+            job.record_end(if saved { "200" } else { "cut:not_kept" }, saved);
+            if !saved {
+                drop(chunks.send(Err(Aborted)).await);
             }
             return;
         }
         let result = match end {
-            End::Whole => return,
-            End::CallerLeft => "caller_left",
-            End::Late => "cut:late",
-            End::Broken(reason) => reason,
+            StreamEnd::Complete => return,
+            StreamEnd::CallerLeft => "caller_left",
+            StreamEnd::DeadlinePassed => "cut:late",
+            StreamEnd::Broken(reason) => reason,
         };
-        job.ended(result, false);
-        if matches!(end, End::Broken(_)) {
-            permit.end(Outcome::Failed);
+        job.record_end(result, false);
+        if matches!(end, StreamEnd::Broken(_)) {
+            permit.release(Outcome::Failed);
         }
-        if end != End::CallerLeft {
-            // The caller has left where this fails.
-            drop(chunks.send(Err(Cut)).await);
+        if end != StreamEnd::CallerLeft {
+            // Fails only if the caller has disconnected.
+            drop(chunks.send(Err(Aborted)).await);
         }
     }
 }
 
-/// Keeps a turn whose last event came, where its route wants that; false where it is not kept.
-async fn keep(job: &Job, said: Option<Transcript>) -> bool {
-    let Some(said) = said else {
+/// Saves a completed turn if its route stores turns; returns false if that failed.
+async fn save_turn(job: &Job, transcript: Option<Transcript>) -> bool {
+    let Some(transcript) = transcript else {
         return true;
     };
-    job.gateway.keep_turn(job, said).await
+    job.gateway.keep_turn(job, transcript).await
 }
 
-fn log_resume(job: &Job, server: &str, reason: &str, attempt: &Attempt, last: Option<u64>) {
-    let outcome = match attempt {
-        Attempt::Stream(_) => "resumed",
-        Attempt::Answer(_) => "other_answer",
-        Attempt::NotRun(reason) | Attempt::Lost(reason) => reason,
-        Attempt::Unreachable => "unreachable",
+fn log_resume(
+    job: &Job,
+    server: &str,
+    reason: &str,
+    resumed: &AttemptResult,
+    last_event: Option<u64>,
+) {
+    let outcome = match resumed {
+        AttemptResult::Stream(_) => "resumed",
+        AttemptResult::Response(_) => "other_answer",
+        AttemptResult::NotRun(reason) | AttemptResult::OutcomeUnknown(reason) => reason,
+        AttemptResult::Unreachable => "unreachable",
     };
     event!(
         info,
@@ -202,7 +225,7 @@
         id = job.meta.id,
         server = server,
         after = reason,
-        last = last.unwrap_or_default(),
+        last = last_event.unwrap_or_default(),
         outcome = outcome,
         age_ms = job.age_ms()
     );
--- a/src/gateway/server/attempt.rs
+++ b/src/gateway/server/attempt.rs
@@ -2,8 +2,8 @@
 
 use crate::gateway::queue::permit::Permit;
 use crate::gateway::request::job::Job;
-use crate::gateway::server::event::{Batch, Splitter};
-use crate::gateway::server::link::{Broken, Link};
+use crate::gateway::server::event::{EventBatch, EventSplitter};
+use crate::gateway::server::link::{Link, SendError};
 use crate::gateway::world::table::Kind;
 use crate::platform::headers::{self, Verdict};
 use crate::policy::dispatch::{Load, Outcome};
@@ -14,134 +14,138 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a connection may have been idle for a request that must not be repeated. A reset after
-/// the first byte can't be told from a run, and a server may drop an idle connection unseen.
-const UNSAFE_IDLE: Duration = Duration::from_millis(1500);
-/// The same for requests that may be sent again.
-const IDLE: Duration = Duration::from_secs(30);
-/// Bytes of an answer that is passed on as a whole.
-const ANSWER: usize = 8 << 20;
+/// Maximum idle time of a connection that is reused for a non-idempotent request. Short, since the
+/// server may have dropped an idle connection, and a reset leaves open whether the request ran.
+const MAX_IDLE_NON_IDEMPOTENT: Duration = Duration::from_millis(1500);
+/// Maximum idle time of a connection that is reused for an idempotent request.
+const MAX_IDLE_IDEMPOTENT: Duration = Duration::from_secs(30);
+/// Maximum size of a buffered response body.
+const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// How an attempt ended.
+/// Result of sending a request to one server.
 #[derive(Debug)]
-pub(crate) enum Attempt {
-    /// The whole answer of a server.
-    Answer(Answer),
-    /// A stream that has begun.
+pub(crate) enum AttemptResult {
+    /// A complete response, which may be an error response.
+    Response(BufferedResponse),
+    /// An event stream whose first events have arrived.
     Stream(Box<Stream>),
-    /// The server did not run it.
+    /// The server refused the request without running it.
     NotRun(&'static str),
-    /// The server could not be reached: it has not run, and the server may have ended.
+    /// No connection to the server: the request has not run.
     Unreachable,
-    /// The server may have run it, and there is no answer.
-    Lost(&'static str),
+    /// The server may have run the request, but sent no usable response.
+    OutcomeUnknown(&'static str),
 }
 
-/// A whole answer.
+/// A response whose body has been read to its end.
 #[derive(Debug)]
-pub(crate) struct Answer {
+pub(crate) struct BufferedResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) load: Option<Load>,
 }
 
-/// A stream of events that has begun.
+/// The head and first events of a streamed response.
 #[derive(Debug)]
 pub(crate) struct Stream {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
-    /// The first events; none where it ended without any.
-    pub(crate) first: Option<Batch>,
-    pub(crate) source: Source,
+    /// `None` if the stream ended without an event.
+    pub(crate) first: Option<EventBatch>,
+    pub(crate) source: EventSource,
 }
 
-/// Where the events of a stream come from.
+/// Reads the events of a streamed response.
 #[derive(Debug)]
-pub(crate) struct Source {
+pub(crate) struct EventSource {
     link: Link,
     body: Incoming,
-    splitter: Splitter,
-    keep: Option<Duration>,
+    splitter: EventSplitter,
+    /// Keep-alive time announced by the server.
+    keep_alive: Option<Duration>,
+    /// Whether the server closes the connection after this response.
     closes: bool,
-    /// What the server said of its load when it began.
+    /// Load that the server reported in the response headers.
     pub(crate) load: Option<Load>,
-    pub(crate) began: Instant,
+    pub(crate) started: Instant,
 }
 
-/// What a stream gives next.
 #[derive(Debug)]
-pub(crate) enum Next {
-    Events(Batch),
+pub(crate) enum StreamItem {
+    Events(EventBatch),
     End,
+    /// The stream ended early or is malformed.
     Broken(&'static str),
 }
 
-impl Source {
-    /// The next whole events.
-    pub(crate) async fn next(&mut self) -> Next {
+impl EventSource {
+    pub(crate) async fn next(&mut self) -> StreamItem {
         loop {
             let frame = match self.body.frame().await {
-                None if self.splitter.is_torn() => return Next::Broken("torn_event"),
-                None => return Next::End,
-                Some(Err(_)) => return Next::Broken("cut"),
+                None if self.splitter.has_partial_event() => {
+                    return StreamItem::Broken("torn_event");
+                }
+                None => return StreamItem::End,
+                Some(Err(_)) => return StreamItem::Broken("cut"),
                 Some(Ok(frame)) => frame,
             };
             let Ok(data) = frame.into_data() else {
                 continue;
             };
             match self.splitter.push(&data) {
-                Ok(Some(batch)) => return Next::Events(batch),
+                Ok(Some(batch)) => return StreamItem::Events(batch),
                 Ok(None) => {}
-                Err(_) => return Next::Broken("endless_event"),
+                Err(_) => return StreamItem::Broken("endless_event"),
             }
         }
     }
 
-    /// Keeps the connection of a stream that has ended whole.
+    /// Returns the connection to the pool after a complete response.
     pub(crate) fn finish(self, job: &Job) {
         if !self.closes {
-            job.gateway.links.give(self.link, self.keep);
+            job.gateway.links.put(self.link, self.keep_alive);
         }
     }
 }
 
-/// Sends the request to the server of the permit; `last_event` is the last one that the caller has.
-pub(crate) async fn attempt(job: &Job, permit: &Permit, last_event: Option<u64>) -> Attempt {
-    let idle = if job.route.idempotent() {
-        IDLE
+/// Sends the request to the server of the permit; `last_event` is the ID of the last event that the caller has.
+pub(crate) async fn attempt(job: &Job, permit: &Permit, last_event: Option<u64>) -> AttemptResult {
+    let max_idle = if job.route.idempotent() {
+        MAX_IDLE_IDEMPOTENT
     } else {
-        UNSAFE_IDLE
+        MAX_IDLE_NON_IDEMPOTENT
     };
-    let mut kept = job.gateway.links.take(&permit.server.id, idle);
+    let mut pooled = job.gateway.links.get(&permit.server.id, max_idle);
     loop {
-        let reused = kept.is_some();
-        let link = match kept.take() {
+        let reused = pooled.is_some();
+        let link = match pooled.take() {
             Some(link) => link,
             None => match Link::open(&permit.server).await {
                 Ok(link) => {
                     job.gateway.metrics.connections.add(1, &[]);
                     link
                 }
-                Err(_) => return Attempt::Unreachable,
+                Err(_) => return AttemptResult::Unreachable,
             },
         };
         match exchange(job, permit, link, last_event).await {
-            // A kept connection that the server closed before it read anything.
-            Err(Broken::Unsent) if reused => {}
-            Err(Broken::Unsent) => return Attempt::Unreachable,
-            Err(Broken::Unknown) => return Attempt::Lost("no_answer"),
-            Ok(attempt) => return attempt,
+            // The server closed a pooled connection before the request was sent: try a new one.
+            Err(SendError::NotSent) if reused => {}
+            Err(SendError::NotSent) => return AttemptResult::Unreachable,
+            Err(SendError::OutcomeUnknown) => return AttemptResult::OutcomeUnknown("no_answer"),
+            Ok(result) => return result,
         }
     }
 }
 
+/// Sends the request on one connection and reads the response, or the start of a stream.
 async fn exchange(
     job: &Job,
     permit: &Permit,
     mut link: Link,
     last_event: Option<u64>,
-) -> Result<Attempt, Broken> {
+) -> Result<AttemptResult, SendError> {
     let mut request = Request::new(Full::new(job.body.borrow().clone()));
     *request.method_mut() = job.method.clone();
     *request.uri_mut() = job.uri.clone();
@@ -149,32 +153,32 @@
         &job.headers,
         &permit.server.name,
         job.team_name(),
-        job.left(),
+        job.remaining(),
         last_event,
     );
-    let began = Instant::now();
-    let before = job.sent.replace(true);
-    let reply = link.send(request).await;
-    let reply = match reply {
-        Ok(reply) => reply,
-        Err(Broken::Unsent) => {
-            job.sent.set(before);
-            return Err(Broken::Unsent);
+    let started = Instant::now();
+    let earlier_attempt_may_have_run = job.may_have_run.replace(true);
+    let response = link.send(request).await;
+    let response = match response {
+        Ok(response) => response,
+        Err(SendError::NotSent) => {
+            job.may_have_run.set(earlier_attempt_may_have_run);
+            return Err(SendError::NotSent);
         }
-        Err(Broken::Unknown) => return Err(Broken::Unknown),
+        Err(SendError::OutcomeUnknown) => return Err(SendError::OutcomeUnknown),
     };
-    let verdict = Verdict::of(reply.headers());
-    let status = reply.status();
-    let ours = verdict.id.as_deref() == Some(job.meta.id.as_str());
+    let verdict = Verdict::of(response.headers());
+    let status = response.status();
+    let id_matches = verdict.id.as_deref() == Some(job.meta.id.as_str());
     let refused = verdict.not_run || status == StatusCode::MISDIRECTED_REQUEST;
-    // A refusal may come without the identity; on a fresh connection it can be no other's.
-    if !(ours || refused && verdict.id.is_none() && link.is_first_answer()) {
-        return Ok(Attempt::Lost("foreign_answer"));
+    // A refusal may lack the request ID; as the first response on a connection it can't belong to another request.
+    if !(id_matches || refused && verdict.id.is_none() && link.is_first_response()) {
+        return Ok(AttemptResult::OutcomeUnknown("foreign_answer"));
     }
     if refused {
-        job.sent.set(before);
-        keep_after(job, link, reply.into_body(), &verdict).await;
-        return Ok(Attempt::NotRun(
+        job.may_have_run.set(earlier_attempt_may_have_run);
+        reuse_after_body(job, link, response.into_body(), &verdict).await;
+        return Ok(AttemptResult::NotRun(
             if status == StatusCode::MISDIRECTED_REQUEST {
                 "other_instance"
             } else {
@@ -183,37 +187,37 @@
         ));
     }
     if status.is_success() && (!verdict.sealed || verdict.encoded) {
-        return Ok(Attempt::Lost("unproved_answer"));
+        return Ok(AttemptResult::OutcomeUnknown("unproved_answer"));
     }
-    let (parts, body) = reply.into_parts();
-    let mut source = Source {
+    let (parts, body) = response.into_parts();
+    let mut source = EventSource {
         link,
         body,
-        splitter: Splitter::default(),
-        keep: verdict.keep,
+        splitter: EventSplitter::default(),
+        keep_alive: verdict.keep,
         closes: verdict.closes,
         load: verdict.load,
-        began,
+        started,
     };
     let headers = headers::answer(&parts.headers);
     if job.route.kind == Kind::Stream && status.is_success() {
         let first = match source.next().await {
-            Next::Events(batch) => Some(batch),
-            Next::End => None,
-            Next::Broken(reason) => return Ok(Attempt::Lost(reason)),
+            StreamItem::Events(batch) => Some(batch),
+            StreamItem::End => None,
+            StreamItem::Broken(reason) => return Ok(AttemptResult::OutcomeUnknown(reason)),
         };
-        return Ok(Attempt::Stream(Box::new(Stream {
+        return Ok(AttemptResult::Stream(Box::new(Stream {
             status,
             headers,
             first,
             source,
         })));
     }
-    let Some(body) = whole(&mut source.body).await else {
-        return Ok(Attempt::Lost("cut"));
+    let Some(body) = read_body(&mut source.body).await else {
+        return Ok(AttemptResult::OutcomeUnknown("cut"));
     };
     source.finish(job);
-    Ok(Attempt::Answer(Answer {
+    Ok(AttemptResult::Response(BufferedResponse {
         status,
         headers,
         body,
@@ -221,33 +225,34 @@
     }))
 }
 
-async fn keep_after(job: &Job, link: Link, mut body: Incoming, verdict: &Verdict) {
-    if !verdict.closes && whole(&mut body).await.is_some() {
-        job.gateway.links.give(link, verdict.keep);
+/// Reads the rest of a refusal and returns the connection to the pool.
+async fn reuse_after_body(job: &Job, link: Link, mut body: Incoming, verdict: &Verdict) {
+    if !verdict.closes && read_body(&mut body).await.is_some() {
+        job.gateway.links.put(link, verdict.keep);
     }
 }
 
-/// The whole body, if it ends as it should.
-async fn whole(body: &mut Incoming) -> Option<Bytes> {
+/// Reads a body to its end; `None` if it is cut short or larger than `MAX_BODY_BYTES`.
+async fn read_body(body: &mut Incoming) -> Option<Bytes> {
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame.ok()?.into_data() {
             bytes.extend_from_slice(&data);
         }
-        if bytes.len() > ANSWER {
+        if bytes.len() > MAX_BODY_BYTES {
             return None;
         }
     }
     Some(bytes.freeze())
 }
 
-impl Attempt {
-    /// What the dispatcher learns, where the attempt is over.
+impl AttemptResult {
+    /// The outcome reported to the dispatcher when the permit is returned after this attempt.
     pub(crate) const fn outcome(&self) -> Outcome {
         match self {
-            Self::Answer(_) | Self::Stream(_) => Outcome::Void,
+            Self::Response(_) | Self::Stream(_) => Outcome::Void,
             Self::NotRun(_) => Outcome::Full,
-            Self::Unreachable | Self::Lost(_) => Outcome::Failed,
+            Self::Unreachable | Self::OutcomeUnknown(_) => Outcome::Failed,
         }
     }
 }
--- a/src/gateway/server/event.rs
+++ b/src/gateway/server/event.rs
@@ -1,71 +1,76 @@
-//! Whole events of a stream, cut out of the bytes as they come.
+//! Splits a server-sent event stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event at most; a server that never ends an event must not fill the memory.
-const EVENT: usize = 1 << 20;
+/// Maximum size of one event; bounds the memory that a server which never ends an event can use.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Splits a stream into whole events.
+/// Buffers a byte stream and returns only complete events.
 ///
-/// A server may stop in the middle of an event. Passed on as it comes, the torn event would run
-/// into the first one of the server at which the stream goes on; so only whole events leave here.
+/// A server may stop in the middle of an event. A partial event sent to the caller would run into
+/// the first event after the stream is resumed.
 #[derive(Debug, Default)]
-pub(crate) struct Splitter {
-    rest: BytesMut,
-    /// How much of `rest` holds no end of an event.
-    searched: usize,
+pub(crate) struct EventSplitter {
+    /// Bytes after the last complete event.
+    buffer: BytesMut,
+    /// Length of the prefix of `buffer` already searched for the end of an event.
+    scanned: usize,
 }
 
-/// Whole events.
+/// One or more complete events.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Batch {
+pub(crate) struct EventBatch {
     pub(crate) bytes: Bytes,
     pub(crate) events: u64,
-    /// The identity of the last of them that has one.
-    pub(crate) last: Option<u64>,
+    /// ID of the last event that has one.
+    pub(crate) last_id: Option<u64>,
 }
 
-impl Splitter {
-    /// Takes in bytes and gives the whole events that they complete.
+impl EventSplitter {
+    /// Appends bytes and returns the events that they complete.
     ///
     /// # Errors
-    /// The bytes, if an event is larger than any server sends.
-    pub(crate) fn push(&mut self, bytes: &[u8]) -> Result<Option<Batch>, usize> {
-        self.rest.extend_from_slice(bytes);
+    /// The buffered size, if an incomplete event exceeds `MAX_EVENT_BYTES`.
+    pub(crate) fn push(&mut self, bytes: &[u8]) -> Result<Option<EventBatch>, usize> {
+        self.buffer.extend_from_slice(bytes);
         let mut end = 0;
         let mut events = 0;
-        let mut at = self.searched.saturating_sub(3);
-        while at < self.rest.len() {
-            let tail = &self.rest[at..];
-            let size = if tail.starts_with(b"\n\n") {
+        let mut offset = self.scanned.saturating_sub(3);
+        while offset < self.buffer.len() {
+            let tail = &self.buffer[offset..];
+            let delimiter_len = if tail.starts_with(b"\n\n") {
                 2
             } else if tail.starts_with(b"\r\n\r\n") {
                 4
             } else {
-                at += 1;
+                offset += 1;
                 continue;
             };
-            at += size;
-            end = at;
+            offset += delimiter_len;
+            end = offset;
             events += 1;
         }
-        self.searched = self.rest.len() - end;
+        self.scanned = self.buffer.len() - end;
         if end == 0 {
-            let size = self.rest.len();
-            return if size > EVENT { Err(size) } else { Ok(None) };
+            let size = self.buffer.len();
+            return if size > MAX_EVENT_BYTES {
+                Err(size)
+            } else {
+                Ok(None)
+            };
         }
-        let bytes = self.rest.split_to(end).freeze();
-        let last = last_id(&bytes);
-        Ok(Some(Batch {
+        let bytes = self.buffer.split_to(end).freeze();
+        let last_id = last_id(&bytes);
+        Ok(Some(EventBatch {
             bytes,
             events,
-            last,
+            last_id,
         }))
     }
 
-    /// Whether bytes of an event are left over.
-    pub(crate) fn is_torn(&self) -> bool {
-        !self.rest.is_empty()
+    /// Whether an incomplete event is buffered.
+    pub(crate) fn has_partial_event(&self) -> bool {
+        !self.buffer.is_empty()
     }
 }
 
--- a/src/gateway/server/link.rs
+++ b/src/gateway/server/link.rs
@@ -1,4 +1,4 @@
-//! Kept connections to backend servers.
+//! Connections to backend servers, and the pool of idle ones.
 
 use crate::gateway::front::socket;
 use crate::gateway::world::directory::{Entry, Id};
@@ -15,27 +15,25 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout};
 
-/// How long a new connection may take. Within a region it takes a few milliseconds; a lost opening
-/// packet is sent again after a second, when another server has long answered.
+/// Shorter than the first TCP SYN retransmission: trying another server is faster than waiting for it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a connection is kept idle where the server does not say.
-const KEEP: Duration = Duration::from_secs(4);
-/// Taken off the time that a server says it keeps a connection, so that a request does not cross
-/// its close.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
-/// Idle connections kept to one server.
-const IDLE: usize = 24;
+/// Keep-alive time where the server announces none.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// Subtracted from the announced keep-alive time, so that no request is sent while the server closes
+/// the connection.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
+const MAX_IDLE_PER_SERVER: usize = 24;
 
-/// A connection to a backend server. Dropping it closes it, which cancels what runs on it.
+/// A connection to a backend server. Dropping it closes it, which cancels the request in flight.
 #[derive(Debug)]
 pub(crate) struct Link {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
     server: Id,
-    /// Answers that it has carried.
-    answers: u32,
+    /// Requests sent on this connection so far.
+    requests: u32,
     idle_since: Instant,
-    keep: Duration,
+    keep_alive: Duration,
 }
 
 impl Drop for Link {
@@ -44,17 +42,16 @@
     }
 }
 
-/// Why a request brought no answer.
+/// Why a request got no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Broken {
-    /// Nothing of it left: it has not run.
-    Unsent,
-    /// It may have run.
-    Unknown,
+pub(crate) enum SendError {
+    /// Nothing was sent, so the request has not run.
+    NotSent,
+    /// The request may have run.
+    OutcomeUnknown,
 }
 
 impl Link {
-    /// Opens a connection.
     pub(crate) async fn open(entry: &Entry) -> Result<Self, std::io::Error> {
         let connect = timeout(CONNECT_TIMEOUT, TcpStream::connect(entry.address));
         let stream = connect.await.map_err(std::io::Error::from)??;
@@ -62,86 +59,85 @@
         let io = TokioIo::new(stream);
         let (sender, connection) = http1::handshake(io).await.map_err(std::io::Error::other)?;
         let driver = tokio::task::spawn_local(async move {
-            // How it ended shows at the request that ran on it.
+            // Errors are reported to the request in flight.
             drop(connection.await);
         });
         Ok(Self {
             sender,
             driver: driver.abort_handle(),
             server: Id::clone(&entry.id),
-            answers: 0,
+            requests: 0,
             idle_since: Instant::now(),
-            keep: KEEP,
+            keep_alive: DEFAULT_KEEP_ALIVE,
         })
     }
 
-    /// Whether it has carried one answer only, so that this can be no other request's.
-    pub(crate) const fn is_first_answer(&self) -> bool {
-        self.answers == 1
+    /// Whether the latest response is the first one, so that it can't belong to an earlier request.
+    pub(crate) const fn is_first_response(&self) -> bool {
+        self.requests == 1
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Broken> {
+    ) -> Result<Response<Incoming>, SendError> {
         if self.sender.ready().await.is_err() {
-            return Err(Broken::Unsent);
+            return Err(SendError::NotSent);
         }
-        let reply = self.sender.try_send_request(request).await;
-        let reply = reply.map_err(|mut error| match error.take_message() {
-            Some(_) => Broken::Unsent,
-            None => Broken::Unknown,
+        let response = self.sender.try_send_request(request).await;
+        let response = response.map_err(|mut error| match error.take_message() {
+            Some(_) => SendError::NotSent,
+            None => SendError::OutcomeUnknown,
         });
-        self.answers += 1;
-        reply
+        self.requests += 1;
+        response
     }
 
     fn is_usable(&self, now: Instant) -> bool {
-        !self.sender.is_closed() && now < self.idle_since + self.keep
+        !self.sender.is_closed() && now < self.idle_since + self.keep_alive
     }
 }
 
-/// The idle connections to all backend servers.
+/// Idle connections to all backend servers.
 #[derive(Debug, Default)]
 pub(crate) struct Links {
     idle: RefCell<HashMap<Id, Vec<Link>>>,
 }
 
 impl Links {
-    /// The connection to `server` that was used last, if it was idle for less than `idle`.
-    pub(crate) fn take(&self, server: &Id, idle: Duration) -> Option<Link> {
+    /// Removes the most recently used connection to `server`, if it was idle for less than `max_idle`.
+    pub(crate) fn get(&self, server: &Id, max_idle: Duration) -> Option<Link> {
         let now = Instant::now();
         let mut all = self.idle.borrow_mut();
         let links = all.get_mut(server)?;
         links.retain(|link| link.is_usable(now));
         let newest = links.last()?;
-        (now < newest.idle_since + idle).then(|| links.pop())?
+        (now < newest.idle_since + max_idle).then(|| links.pop())?
     }
 
-    /// Keeps a connection whose answer is complete; `keep` is how long the server keeps it.
-    pub(crate) fn give(&self, mut link: Link, keep: Option<Duration>) {
+    /// Adds a connection whose response is complete; `keep_alive` is the time announced by the server.
+    pub(crate) fn put(&self, mut link: Link, keep_alive: Option<Duration>) {
         link.idle_since = Instant::now();
-        if let Some(keep) = keep {
-            link.keep = keep.saturating_sub(KEEP_MARGIN);
+        if let Some(keep_alive) = keep_alive {
+            link.keep_alive = keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
         }
         let mut all = self.idle.borrow_mut();
         let links = all.entry(Id::clone(&link.server)).or_default();
-        if links.len() < IDLE {
+        if links.len() < MAX_IDLE_PER_SERVER {
             links.push(link);
         }
     }
 
-    /// Closes what has been idle for too long or leads to a server that is not `known`.
-    pub(crate) fn sweep(&self, known: impl Fn(&Id) -> bool) {
+    /// Closes connections that were idle for too long or whose server is not registered.
+    pub(crate) fn sweep(&self, is_registered: impl Fn(&Id) -> bool) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|server, links| {
             links.retain(|link| link.is_usable(now));
-            !links.is_empty() && known(server)
+            !links.is_empty() && is_registered(server)
         });
     }
 
-    /// How many connections are idle.
     pub(crate) fn len(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
--- a/src/gateway/server/mod.rs
+++ b/src/gateway/server/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers, and one attempt of a request at one of them.
+//! Connections to backend servers, and single attempts of requests at them.
 
 pub(crate) mod attempt;
 pub(crate) mod event;
