--- a/src/gateway/front/mod.rs
+++ b/src/gateway/front/mod.rs
@@ -16,7 +16,7 @@
 use crate::gateway::queue::lease::Leases;
 use crate::gateway::queue::permit::Desk;
 use crate::gateway::request::body::Body;
-use crate::gateway::server::link::Links;
+use crate::gateway::server::connection::Links;
 use crate::gateway::tokens::handover::Reason;
 use crate::gateway::tokens::keeper;
 use crate::gateway::tokens::keeper::Keeper;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -40,7 +40,7 @@
 use peers::Peers;
 use queue::lease::Leases;
 use queue::permit::Desk;
-use server::link::Links;
+use server::connection::Links;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/src/gateway/server/attempt.rs
+++ b/src/gateway/server/attempt.rs
@@ -2,8 +2,8 @@
 
 use crate::gateway::queue::permit::Permit;
 use crate::gateway::request::job::Job;
+use crate::gateway::server::connection::{Link, SendError};
 use crate::gateway::server::event::{EventBatch, EventSplitter};
-use crate::gateway::server::link::{Link, SendError};
 use crate::gateway::world::table::Kind;
 use crate::platform::headers::{self, Verdict};
 use crate::policy::dispatch::{Load, Outcome};
--- a/src/gateway/server/mod.rs
+++ b/src/gateway/server/mod.rs
@@ -1,5 +1,5 @@
 //! Connections to backend servers, and single attempts of requests at them.
 
 pub(crate) mod attempt;
+pub(crate) mod connection;
 pub(crate) mod event;
-pub(crate) mod link;
