--- a/src/gateway/conversation/exchange.rs
+++ b/src/gateway/conversation/exchange.rs
@@ -131,12 +131,12 @@
         }
         None => {
             event!(warn, "exchange_refused");
-            let mut refused = Response::new(Body::whole(Bytes::new()));
+            let mut refused = Response::new(Body::full(Bytes::new()));
             *refused.status_mut() = StatusCode::FORBIDDEN;
             return refused;
         }
     };
-    Response::new(Body::whole(Bytes::from(sealer.seal(&answer))))
+    Response::new(Body::full(Bytes::from(sealer.seal(&answer))))
 }
 
 impl Gateway {
--- a/src/gateway/conversation/record.rs
+++ b/src/gateway/conversation/record.rs
@@ -67,7 +67,7 @@
         // Copied, since a part of a buffer would hold the whole buffer.
         let turn = Rc::new(Turn {
             id,
-            prev: job.prev.clone(),
+            prev: job.prev_turn.clone(),
             until_ms: until_ms(kept_for),
             input: Bytes::copy_from_slice(&job.input),
             output: Bytes::copy_from_slice(&said.finish()),
@@ -78,7 +78,7 @@
         }
         let until = job.deadline.checked_sub(LAST).unwrap_or(began);
         let kept = timeout_at(until, self.record(&turn)).await.ok();
-        job.kept.set(began.elapsed());
+        job.turn_save_time.set(began.elapsed());
         let at = kept.map_or("nowhere", Kept::name);
         self.metrics.kept(began.elapsed(), at);
         if kept != Some(Kept::Store) || self.sampler.takes(&job.meta.id) {
--- a/src/gateway/front/housekeeping.rs
+++ b/src/gateway/front/housekeeping.rs
@@ -44,9 +44,9 @@
         let changes = same.and_then(|(_, noted)| world.changes.since(noted));
         if let Some(changes) = changes {
             let changes: Vec<Change> = changes.cloned().collect();
-            self.desk.change(&changes, table);
+            self.queue.apply_changes(&changes, table);
         } else {
-            self.desk.configure(&world.directory, table);
+            self.queue.configure(&world.directory, table);
         }
         *known = Some((version, world.changes.noted()));
     }
@@ -61,8 +61,8 @@
     let mut lost = None;
     loop {
         tick.tick().await;
-        gateway.desk.tick();
-        gateway.look_at_clocks();
+        gateway.queue.tick();
+        gateway.check_for_stall();
         gateway.expire_leases();
         // Whether a VM has the store is not told to all: when it refuses everybody, each VM would have news for all
         // others at once, and their views would differ for seconds.
@@ -89,7 +89,7 @@
         }
         if swept.elapsed() >= SWEEP {
             swept = Instant::now();
-            gateway.desk.log();
+            gateway.queue.log_waiting();
             gateway.note_members();
             let (directory, aged) = {
                 let world = gateway.world.borrow();
@@ -98,7 +98,9 @@
             if let Some(aged) = aged {
                 gateway.metrics.directory_age(aged.elapsed());
             }
-            gateway.links.sweep(|id| directory.get(id).is_some());
+            gateway
+                .connections
+                .close_expired(|id| directory.get(id).is_some());
         }
     }
 }
--- a/src/gateway/front/mod.rs
+++ b/src/gateway/front/mod.rs
@@ -11,12 +11,12 @@
 use crate::code::{Code, Failure};
 use crate::gateway::census::Census;
 use crate::gateway::conversation::Conversations;
-use crate::gateway::limits::Counting;
+use crate::gateway::limits::Limits;
 use crate::gateway::peers::Peers;
 use crate::gateway::queue::lease::Leases;
-use crate::gateway::queue::permit::Desk;
+use crate::gateway::queue::permit::Queue;
 use crate::gateway::request::body::Body;
-use crate::gateway::server::connection::Links;
+use crate::gateway::server::connection::Pool;
 use crate::gateway::tokens::handover::Reason;
 use crate::gateway::tokens::keeper;
 use crate::gateway::tokens::keeper::Keeper;
@@ -193,11 +193,11 @@
             settings.store.partitions,
             &settings.peer_key,
         )),
-        counting: Counting::default(),
+        limit_state: Limits::default(),
         census: Census::default(),
         zone: settings.zone.as_str().into(),
-        links: Links::default(),
-        desk: Desk::default(),
+        connections: Pool::default(),
+        queue: Queue::default(),
         leases: Leases::default(),
         metrics: Metrics::new(),
         sampler: Sampler::new(),
@@ -293,7 +293,7 @@
 }
 
 fn readiness(ready: bool) -> Response<Body> {
-    let mut response = Response::new(Body::whole(Bytes::new()));
+    let mut response = Response::new(Body::full(Bytes::new()));
     if !ready {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
--- a/src/gateway/front/operators.rs
+++ b/src/gateway/front/operators.rs
@@ -28,7 +28,7 @@
 
 fn answer(bytes: Bytes) -> Response<Body> {
     let known = !bytes.is_empty();
-    let mut response = Response::new(Body::whole(bytes));
+    let mut response = Response::new(Body::full(bytes));
     if !known {
         *response.status_mut() = StatusCode::NOT_FOUND;
     }
@@ -58,7 +58,7 @@
         let world = self.world.borrow();
         let view = self.view.borrow();
         let (partitions, programs) = self.keeper.size();
-        let (waiting, places) = self.leases.len();
+        let (waiting, places) = self.leases.counts();
         let servers = world.directory.iter().map(|entry| {
             json!({
                 "id": &*entry.id,
@@ -80,13 +80,13 @@
             }),
             "store_heard_ms": world.heard.map(|heard| heard.elapsed().as_millis()),
             "servers": servers.collect::<Vec<_>>(),
-            "services": self.desk.state(),
+            "services": self.queue.state(),
             "leases": json!({ "waiting": waiting, "places": places }),
             "counted": json!({ "partitions": partitions, "programs": programs }),
             "teams": world.table.as_ref().and_then(|table| table.teams.as_ref()).map(Teams::len),
-            "limits": self.counted_teams(),
+            "limits": self.busiest_teams(),
             "conversations": self.conversations.size(),
-            "idle_connections": self.links.len(),
+            "idle_connections": self.connections.idle_count(),
             "members": view.members.values().map(|member| &member.vm).collect::<Vec<_>>(),
             "dropped_log_lines": telemetry::dropped_lines(),
         })
--- a/src/gateway/limits/count.rs
+++ b/src/gateway/limits/count.rs
@@ -19,7 +19,7 @@
 
 /// Asks whether a request of a team is within the team's limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Take {
+pub(crate) struct Acquisition {
     pub(crate) team: String,
     /// The limit in the configuration of the asking VM.
     pub(crate) limit: Limit,
@@ -35,12 +35,12 @@
 
 /// Quotas of the teams of one partition, on the VM that owns it.
 #[derive(Debug, Default)]
-pub(crate) struct Counted {
+pub(crate) struct Quotas {
     /// Ownership epoch of the quotas; a new epoch starts with empty ones.
     epoch: u64,
     /// When the quotas of this epoch start with an empty bucket.
     start: Option<Instant>,
-    quotas: HashMap<String, Quota>,
+    by_team: HashMap<String, Quota>,
 }
 
 /// Maximum teams listed on the operators' state page.
@@ -50,10 +50,10 @@
 
 impl Gateway {
     /// Answers a limit question of another VM or of this one.
-    pub(crate) async fn take_of_team(
+    pub(crate) async fn admit_team_request(
         self: &Rc<Self>,
         partition: u64,
-        take: Take,
+        acquisition: Acquisition,
         takeover: bool,
     ) -> Reply {
         let part = self.keeper.part(partition);
@@ -72,7 +72,7 @@
             // This VM lost the partition meanwhile.
             return Reply::NotOwner;
         }
-        self.check_quota(partition, &part, &take, share)
+        self.check_quota(partition, &part, &acquisition, share)
     }
 
     /// Whether this VM may count the teams of a partition that no VM can take over.
@@ -91,38 +91,44 @@
         !self.has_store() && self.reaching_store(partition, LATELY).await.is_empty()
     }
 
-    fn check_quota(&self, partition: u64, part: &Part, take: &Take, share: Share) -> Reply {
+    fn check_quota(
+        &self,
+        partition: u64,
+        part: &Part,
+        acquisition: &Acquisition,
+        share: Share,
+    ) -> Reply {
         let epoch = part.epoch().unwrap_or(NO_OWNER_EPOCH);
         let now = Instant::now();
-        let limit = self.limit_of(take);
+        let limit = self.limit_of(acquisition);
         let bound = self.limit_bound();
         let mut teams = part.teams.borrow_mut();
         if teams.start.is_none() || teams.epoch != epoch {
-            *teams = Counted {
+            *teams = Quotas {
                 epoch,
                 start: Some(self.quota_start(part, now)),
-                quotas: HashMap::new(),
+                by_team: HashMap::new(),
             };
         }
         let start = teams.start.unwrap_or(now);
-        let quota = teams.quotas.entry(take.team.clone());
+        let quota = teams.by_team.entry(acquisition.team.clone());
         let quota = quota.or_insert_with(|| Quota::new(start));
         quota.set(now, &bound, limit, share);
         let request = Request {
-            program: take.program,
-            class: take.class,
-            patience: Duration::from_millis(take.patience_ms),
+            program: acquisition.program,
+            class: acquisition.class,
+            patience: Duration::from_millis(acquisition.patience_ms),
         };
-        match quota.ask(now, &mut self.counting.needs.borrow_mut(), request) {
+        match quota.ask(now, &mut self.limit_state.needs.borrow_mut(), request) {
             Verdict::Granted(delay) => Reply::Admitted {
                 wait_ms: millis(delay),
             },
             Verdict::Refused(retry_after) => {
-                if self.sampler.takes(&take.team) {
+                if self.sampler.takes(&acquisition.team) {
                     event!(
                         info,
                         "limit_reached",
-                        team = take.team,
+                        team = acquisition.team,
                         part = partition,
                         epoch = epoch,
                         per_second = limit.per_second,
@@ -148,12 +154,13 @@
     }
 
     /// The team's limit in the newer configuration: this VM's or the asking VM's.
-    fn limit_of(&self, take: &Take) -> Limit {
+    fn limit_of(&self, acquisition: &Acquisition) -> Limit {
         let world = self.world.borrow();
         let table = world.table.as_ref();
-        let table = table.filter(|table| table.version >= take.version);
-        let team = table.and_then(|table| table.teams.as_ref()?.named(&take.team));
-        team.and_then(|team| team.limit).unwrap_or(take.limit)
+        let table = table.filter(|table| table.version >= acquisition.version);
+        let team = table.and_then(|table| table.teams.as_ref()?.named(&acquisition.team));
+        team.and_then(|team| team.limit)
+            .unwrap_or(acquisition.limit)
     }
 
     pub(super) fn limit_bound(&self) -> Bound {
@@ -167,7 +174,7 @@
 
     /// The share of each limit that this VM may grant in a partition that it counts.
     async fn share(&self, part: &Part) -> Share {
-        self.counting.stall.check();
+        self.limit_state.stall.check();
         let confirmed = Self::since_confirmed(part);
         let reach = if confirmed < CONFIRMED {
             None
@@ -180,7 +187,7 @@
             confirmed,
             doubted: doubted
                 .into_iter()
-                .chain(self.counting.stall.since_last_stall())
+                .chain(self.limit_state.stall.since_last_stall())
                 .min(),
             reach,
         };
@@ -195,11 +202,11 @@
     }
 
     /// The teams with the most granted requests among those that this VM counts, for the operators' state page.
-    pub(crate) fn counted_teams(&self) -> Vec<Value> {
+    pub(crate) fn busiest_teams(&self) -> Vec<Value> {
         let mut teams_by_use = Vec::new();
         for (partition, part) in self.keeper.held() {
             let teams = part.teams.borrow();
-            let rows = teams.quotas.iter().map(|(name, quota)| {
+            let rows = teams.by_team.iter().map(|(name, quota)| {
                 let row = json!({
                     "team": name, "partition": partition,
                     "granted_in_window": quota.granted(), "programs": quota.programs(),
@@ -214,8 +221,8 @@
     }
 
     /// Detects whether this process was suspended since the last check.
-    pub(crate) fn look_at_clocks(&self) {
-        self.counting.stall.check();
+    pub(crate) fn check_for_stall(&self) {
+        self.limit_state.stall.check();
     }
 }
 
--- a/src/gateway/limits/mod.rs
+++ b/src/gateway/limits/mod.rs
@@ -13,7 +13,7 @@
 
 /// State for enforcing team limits that belongs to no partition.
 #[derive(Debug, Default)]
-pub(crate) struct Counting {
+pub(crate) struct Limits {
     needs: RefCell<Needs>,
     stall: StallDetector,
 }
--- a/src/gateway/limits/take.rs
+++ b/src/gateway/limits/take.rs
@@ -2,7 +2,7 @@
 
 use crate::code::{Code, Failure};
 use crate::gateway::Gateway;
-use crate::gateway::limits::count::Take;
+use crate::gateway::limits::count::Acquisition;
 use crate::gateway::peers::{Question, Reply};
 use crate::gateway::world::team::Team;
 use crate::policy::quota::Request;
@@ -28,7 +28,7 @@
             return Ok(Duration::ZERO);
         };
         let part = self.keeper.part_of(&format!("team/{}", team.name));
-        let take = Take {
+        let acquisition = Acquisition {
             team: team.name.to_string(),
             limit,
             version,
@@ -38,7 +38,7 @@
         };
         let question = |takeover| Question::Take {
             part,
-            take: take.clone(),
+            take: acquisition.clone(),
             takeover,
         };
         match self.ask_counting(part, question).await {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -36,11 +36,11 @@
 use conversation::Conversations;
 use front::metrics::Metrics;
 use front::sample::Sampler;
-use limits::Counting;
+use limits::Limits;
 use peers::Peers;
 use queue::lease::Leases;
-use queue::permit::Desk;
-use server::connection::Links;
+use queue::permit::Queue;
+use server::connection::Pool;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -68,11 +68,11 @@
     view: watch::Receiver<Arc<View>>,
     peers: Peers,
     keeper: Rc<Keeper>,
-    counting: Counting,
+    limit_state: Limits,
     census: Census,
     conversations: Rc<Conversations>,
-    links: Links,
-    desk: Desk,
+    connections: Pool,
+    queue: Queue,
     leases: Leases,
     metrics: Metrics,
     sampler: Sampler,
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -4,7 +4,7 @@
 
 use crate::conversation::Id;
 use crate::gateway::Gateway;
-use crate::gateway::limits::count::Take;
+use crate::gateway::limits::count::Acquisition;
 use crate::id::Vm;
 use crate::member::{DATAGRAM, Sealer};
 use crate::policy::allowance::{Entry, Reservation};
@@ -54,7 +54,7 @@
     #[serde(rename = "q")]
     Take {
         part: u64,
-        take: Take,
+        take: Acquisition,
         /// Whether those that come first did not answer.
         takeover: bool,
     },
--- a/src/gateway/queue/lease.rs
+++ b/src/gateway/queue/lease.rs
@@ -49,7 +49,7 @@
 
 impl Leases {
     /// Cancels the wait of a request of another VM, or releases its slot.
-    pub(crate) fn end(&self, asked: &Asked, outcome: Outcome) {
+    pub(crate) fn release(&self, asked: &Asked, outcome: Outcome) {
         let waiting = self.waiting.borrow_mut().remove(asked);
         if let Some(cancel) = waiting {
             // Fails if the slot was granted meanwhile; then the lease is released below.
@@ -68,7 +68,7 @@
     }
 
     /// Number of requests of other VMs that wait, and of those that have a slot.
-    pub(crate) fn len(&self) -> (usize, usize) {
+    pub(crate) fn counts(&self) -> (usize, usize) {
         (self.waiting.borrow().len(), self.granted.borrow().len())
     }
 }
@@ -151,7 +151,7 @@
     }
 
     /// Leases a slot to another VM, as soon as one is free.
-    pub(crate) async fn lease_to(self: &Rc<Self>, asked: Asked, ask: Ask) -> Reply {
+    pub(crate) async fn lease_slot(self: &Rc<Self>, asked: Asked, ask: Ask) -> Reply {
         if let Some(server) = self.leases.leased_server(&asked) {
             // A repeated question, since the reply was lost.
             return Reply::Placed(server);
@@ -220,7 +220,7 @@
             event!(info, "places_taken_back", places = expired.len());
         }
         for asked in expired {
-            self.leases.end(&asked, Outcome::Void);
+            self.leases.release(&asked, Outcome::Void);
         }
     }
 }
--- a/src/gateway/queue/permit.rs
+++ b/src/gateway/queue/permit.rs
@@ -23,7 +23,7 @@
 
 /// The dispatcher of this VM, and the requests that wait for it.
 #[derive(Debug, Default)]
-pub(crate) struct Desk {
+pub(crate) struct Queue {
     dispatcher: RefCell<Dispatcher>,
     /// Notifies a waiting request of its server, or with `None` that it was refused.
     waiters: RefCell<HashMap<id::Permit, oneshot::Sender<Option<Id>>>>,
@@ -45,7 +45,7 @@
     }
 }
 
-impl Desk {
+impl Queue {
     /// Replaces the servers by those of a directory, with the service settings of `table`.
     pub(crate) fn configure(&self, directory: &Directory, table: Option<&Table>) {
         let descriptions = directory.iter().map(|entry| describe(entry, table));
@@ -58,7 +58,7 @@
     }
 
     /// Applies changes of the directory under an unchanged configuration.
-    pub(crate) fn change(&self, changes: &[Change], table: Option<&Table>) {
+    pub(crate) fn apply_changes(&self, changes: &[Change], table: Option<&Table>) {
         let mut entries = self.entries.borrow_mut();
         let mut dispatcher = self.dispatcher.borrow_mut();
         for change in changes {
@@ -113,7 +113,7 @@
     }
 
     /// Logs the load of the services that have waiting requests.
-    pub(crate) fn log(&self) {
+    pub(crate) fn log_waiting(&self) {
         for load in self.dispatcher.borrow().loads(Instant::now()) {
             event!(
                 info,
@@ -173,7 +173,7 @@
     fn drop(&mut self) {
         let outcome = self.outcome.get();
         match self.owner {
-            SlotOwner::Local(permit) => self.gateway.desk.release(permit, outcome),
+            SlotOwner::Local(permit) => self.gateway.queue.release(permit, outcome),
             SlotOwner::Remote(peer, number) => {
                 let gateway = Rc::clone(&self.gateway);
                 let note = Note::Left { number, outcome };
@@ -209,11 +209,11 @@
     /// time.
     pub(crate) async fn acquire_local_permit(self: &Rc<Self>, ask: Ask) -> Result<Permit, Failure> {
         loop {
-            let permit = id::Permit(self.desk.next_permit.get());
-            self.desk.next_permit.set(permit.0 + 1);
+            let permit = id::Permit(self.queue.next_permit.get());
+            self.queue.next_permit.set(permit.0 + 1);
             let now = Instant::now();
             let verdict = self
-                .desk
+                .queue
                 .dispatcher
                 .borrow_mut()
                 .ask(now, permit, ask.clone());
@@ -224,7 +224,7 @@
                 Verdict::Refused(retry_after) => return Err(overloaded(retry_after)),
                 Verdict::Waiting => {
                     let (waiter, grant) = oneshot::channel();
-                    self.desk.waiters.borrow_mut().insert(permit, waiter);
+                    self.queue.waiters.borrow_mut().insert(permit, waiter);
                     let server = grant.await.map_err(|_| no_server())?;
                     server.ok_or_else(|| overloaded(GIVEN_UP))?
                 }
--- a/src/gateway/request/admit.rs
+++ b/src/gateway/request/admit.rs
@@ -82,7 +82,7 @@
             ));
         }
     };
-    let prev = parse_prev_turn(route, &meta, &body)?;
+    let prev_turn = parse_prev_turn(route, &meta, &body)?;
     let selector = xxh3_64(meta.program.as_deref().unwrap_or(&meta.id).as_bytes());
     let Some(service) = route.service(selector) else {
         return Err(Failure::refused(
@@ -107,7 +107,7 @@
         headers: parts.headers,
         input: body.clone(),
         body: RefCell::new(body),
-        prev,
+        prev_turn,
         arrived,
         deadline,
         allowance: RefCell::new(None),
@@ -116,7 +116,7 @@
         reservation_time: Cell::default(),
         limit_time: Cell::default(),
         history_time: Cell::default(),
-        kept: Cell::default(),
+        turn_save_time: Cell::default(),
         may_have_run: Cell::new(false),
         end_recorded: Cell::new(false),
         events_relayed: Cell::new(0),
@@ -144,7 +144,7 @@
         let failure = Failure::refused(Code::TooLarge, "the turn is too large to store");
         return Err(failure);
     }
-    let Some(prev) = &meta.prev_turn else {
+    let Some(prev_turn) = &meta.prev_turn else {
         return Ok(None);
     };
     let malformed = |_| {
@@ -153,7 +153,7 @@
             "the ID of the previous turn is malformed",
         )
     };
-    prev.parse().map(Some).map_err(malformed)
+    prev_turn.parse().map(Some).map_err(malformed)
 }
 
 fn unknown_route(gateway: &Gateway) -> Failure {
--- a/src/gateway/request/body.rs
+++ b/src/gateway/request/body.rs
@@ -31,7 +31,7 @@
 }
 
 impl Body {
-    pub(crate) fn whole(bytes: Bytes) -> Self {
+    pub(crate) fn full(bytes: Bytes) -> Self {
         Self::Full((!bytes.is_empty()).then_some(bytes))
     }
 
--- a/src/gateway/request/job.rs
+++ b/src/gateway/request/job.rs
@@ -35,7 +35,7 @@
     /// Body sent to the server: the input, preceded by the conversation history where turns are stored.
     pub(crate) body: RefCell<Bytes>,
     /// Previous turn of the conversation, where the route stores turns.
-    pub(crate) prev: Option<conversation::Id>,
+    pub(crate) prev_turn: Option<conversation::Id>,
     pub(crate) arrived: Instant,
     pub(crate) deadline: Instant,
     /// Tokens in one event of the response; 0 where the service generates none.
@@ -53,7 +53,7 @@
     /// Time spent loading the conversation history.
     pub(crate) history_time: Cell<Duration>,
     /// Time for which the end of the response was held back while the turn was saved.
-    pub(crate) kept: Cell<Duration>,
+    pub(crate) turn_save_time: Cell<Duration>,
     /// Whether a server may have run the request.
     pub(crate) may_have_run: Cell<bool>,
     /// Whether the end was already logged and counted.
@@ -113,9 +113,9 @@
             waited_ms = self.queue_time.get().as_millis(),
             allowed_ms = self.reservation_time.get().as_millis(),
             limited_ms = self.limit_time.get().as_millis(),
-            prev = self.prev.as_ref().map_or("", conversation::Id::as_str),
+            prev = self.prev_turn.as_ref().map_or("", conversation::Id::as_str),
             history_ms = self.history_time.get().as_millis(),
-            kept_ms = self.kept.get().as_millis(),
+            kept_ms = self.turn_save_time.get().as_millis(),
             total_ms = total.as_millis(),
             limit_ms = self
                 .deadline
--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -74,7 +74,7 @@
 fn deadline_failure(job: &Job) -> Failure {
     if job.may_have_run.get() {
         reply::outcome_unknown(Code::DeadlinePassed, "no server answered in time")
-    } else if job.prev.is_some() && job.history_time.get().is_zero() {
+    } else if job.prev_turn.is_some() && job.history_time.get().is_zero() {
         let failure = Failure::refused(
             Code::HistoryAway,
             "the conversation history was not loaded in time",
@@ -154,11 +154,11 @@
 
 /// Prepends the stored conversation history to the caller's input.
 async fn prepend_history(job: &Job) -> Result<(), Failure> {
-    let Some(prev) = &job.prev else {
+    let Some(prev_turn) = &job.prev_turn else {
         return Ok(());
     };
     let started = Instant::now();
-    let turns = job.gateway.history(prev).await;
+    let turns = job.gateway.history(prev_turn).await;
     job.history_time.set(started.elapsed());
     job.gateway.metrics.assembled(started.elapsed());
     job.body.replace(prompt(&turns?, &job.input));
@@ -260,7 +260,7 @@
             load: response.load,
         }
     });
-    let mut reply = Response::new(Body::whole(response.body));
+    let mut reply = Response::new(Body::full(response.body));
     *reply.status_mut() = response.status;
     *reply.headers_mut() = response.headers;
     reply
--- a/src/gateway/request/reply.rs
+++ b/src/gateway/request/reply.rs
@@ -18,7 +18,7 @@
         (_, _) => 502,
     };
     let body = serde_json::to_vec(failure).unwrap_or_default();
-    let mut response = Response::new(Body::whole(Bytes::from(body)));
+    let mut response = Response::new(Body::full(Bytes::from(body)));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     let headers = response.headers_mut();
     headers.insert(
--- a/src/gateway/server/attempt.rs
+++ b/src/gateway/server/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::queue::permit::Permit;
 use crate::gateway::request::job::Job;
-use crate::gateway::server::connection::{Link, SendError};
+use crate::gateway::server::connection::{Connection, SendError};
 use crate::gateway::server::event::{EventBatch, EventSplitter};
 use crate::gateway::world::table::Kind;
 use crate::platform::headers::{self, Verdict};
@@ -59,7 +59,7 @@
 /// Reads the events of a streamed response.
 #[derive(Debug)]
 pub(crate) struct EventSource {
-    link: Link,
+    connection: Connection,
     body: Incoming,
     splitter: EventSplitter,
     /// Keep-alive time announced by the server.
@@ -104,7 +104,9 @@
     /// Returns the connection to the pool after a complete response.
     pub(crate) fn finish(self, job: &Job) {
         if !self.closes {
-            job.gateway.links.put(self.link, self.keep_alive);
+            job.gateway
+                .connections
+                .put(self.connection, self.keep_alive);
         }
     }
 }
@@ -116,20 +118,20 @@
     } else {
         MAX_IDLE_NON_IDEMPOTENT
     };
-    let mut pooled = job.gateway.links.get(&permit.server.id, max_idle);
+    let mut pooled = job.gateway.connections.get(&permit.server.id, max_idle);
     loop {
         let reused = pooled.is_some();
-        let link = match pooled.take() {
-            Some(link) => link,
-            None => match Link::open(&permit.server).await {
-                Ok(link) => {
+        let connection = match pooled.take() {
+            Some(connection) => connection,
+            None => match Connection::open(&permit.server).await {
+                Ok(connection) => {
                     job.gateway.metrics.connections.add(1, &[]);
-                    link
+                    connection
                 }
                 Err(_) => return AttemptResult::Unreachable,
             },
         };
-        match exchange(job, permit, link, last_event).await {
+        match exchange(job, permit, connection, last_event).await {
             // The server closed a pooled connection before the request was sent: try a new one.
             Err(SendError::NotSent) if reused => {}
             Err(SendError::NotSent) => return AttemptResult::Unreachable,
@@ -143,7 +145,7 @@
 async fn exchange(
     job: &Job,
     permit: &Permit,
-    mut link: Link,
+    mut connection: Connection,
     last_event: Option<u64>,
 ) -> Result<AttemptResult, SendError> {
     let mut request = Request::new(Full::new(job.body.borrow().clone()));
@@ -158,7 +160,7 @@
     );
     let started = Instant::now();
     let earlier_attempt_may_have_run = job.may_have_run.replace(true);
-    let response = link.send(request).await;
+    let response = connection.send(request).await;
     let response = match response {
         Ok(response) => response,
         Err(SendError::NotSent) => {
@@ -172,12 +174,12 @@
     let id_matches = verdict.id.as_deref() == Some(job.meta.id.as_str());
     let refused = verdict.not_run || status == StatusCode::MISDIRECTED_REQUEST;
     // A refusal may lack the request ID; as the first response on a connection it can't belong to another request.
-    if !(id_matches || refused && verdict.id.is_none() && link.is_first_response()) {
+    if !(id_matches || refused && verdict.id.is_none() && connection.is_first_response()) {
         return Ok(AttemptResult::OutcomeUnknown("foreign_answer"));
     }
     if refused {
         job.may_have_run.set(earlier_attempt_may_have_run);
-        reuse_after_body(job, link, response.into_body(), &verdict).await;
+        reuse_after_body(job, connection, response.into_body(), &verdict).await;
         return Ok(AttemptResult::NotRun(
             if status == StatusCode::MISDIRECTED_REQUEST {
                 "other_instance"
@@ -191,7 +193,7 @@
     }
     let (parts, body) = response.into_parts();
     let mut source = EventSource {
-        link,
+        connection,
         body,
         splitter: EventSplitter::default(),
         keep_alive: verdict.keep,
@@ -226,9 +228,14 @@
 }
 
 /// Reads the rest of a refusal and returns the connection to the pool.
-async fn reuse_after_body(job: &Job, link: Link, mut body: Incoming, verdict: &Verdict) {
+async fn reuse_after_body(
+    job: &Job,
+    connection: Connection,
+    mut body: Incoming,
+    verdict: &Verdict,
+) {
     if !verdict.closes && read_body(&mut body).await.is_some() {
-        job.gateway.links.put(link, verdict.keep);
+        job.gateway.connections.put(connection, verdict.keep);
     }
 }
 
--- a/src/gateway/server/connection.rs
+++ b/src/gateway/server/connection.rs
@@ -26,7 +26,7 @@
 
 /// A connection to a backend server. Dropping it closes it, which cancels the request in flight.
 #[derive(Debug)]
-pub(crate) struct Link {
+pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
     server: Id,
@@ -36,7 +36,7 @@
     keep_alive: Duration,
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.driver.abort();
     }
@@ -51,7 +51,7 @@
     OutcomeUnknown,
 }
 
-impl Link {
+impl Connection {
     pub(crate) async fn open(entry: &Entry) -> Result<Self, std::io::Error> {
         let connect = timeout(CONNECT_TIMEOUT, TcpStream::connect(entry.address));
         let stream = connect.await.map_err(std::io::Error::from)??;
@@ -101,44 +101,44 @@
 
 /// Idle connections to all backend servers.
 #[derive(Debug, Default)]
-pub(crate) struct Links {
-    idle: RefCell<HashMap<Id, Vec<Link>>>,
+pub(crate) struct Pool {
+    idle: RefCell<HashMap<Id, Vec<Connection>>>,
 }
 
-impl Links {
+impl Pool {
     /// Removes the most recently used connection to `server`, if it was idle for less than `max_idle`.
-    pub(crate) fn get(&self, server: &Id, max_idle: Duration) -> Option<Link> {
+    pub(crate) fn get(&self, server: &Id, max_idle: Duration) -> Option<Connection> {
         let now = Instant::now();
         let mut all = self.idle.borrow_mut();
-        let links = all.get_mut(server)?;
-        links.retain(|link| link.is_usable(now));
-        let newest = links.last()?;
-        (now < newest.idle_since + max_idle).then(|| links.pop())?
+        let connections = all.get_mut(server)?;
+        connections.retain(|connection| connection.is_usable(now));
+        let newest = connections.last()?;
+        (now < newest.idle_since + max_idle).then(|| connections.pop())?
     }
 
     /// Adds a connection whose response is complete; `keep_alive` is the time announced by the server.
-    pub(crate) fn put(&self, mut link: Link, keep_alive: Option<Duration>) {
-        link.idle_since = Instant::now();
+    pub(crate) fn put(&self, mut connection: Connection, keep_alive: Option<Duration>) {
+        connection.idle_since = Instant::now();
         if let Some(keep_alive) = keep_alive {
-            link.keep_alive = keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
+            connection.keep_alive = keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
         }
         let mut all = self.idle.borrow_mut();
-        let links = all.entry(Id::clone(&link.server)).or_default();
-        if links.len() < MAX_IDLE_PER_SERVER {
-            links.push(link);
+        let connections = all.entry(Id::clone(&connection.server)).or_default();
+        if connections.len() < MAX_IDLE_PER_SERVER {
+            connections.push(connection);
         }
     }
 
     /// Closes connections that were idle for too long or whose server is not registered.
-    pub(crate) fn sweep(&self, is_registered: impl Fn(&Id) -> bool) {
+    pub(crate) fn close_expired(&self, is_registered: impl Fn(&Id) -> bool) {
         let now = Instant::now();
-        self.idle.borrow_mut().retain(|server, links| {
-            links.retain(|link| link.is_usable(now));
-            !links.is_empty() && is_registered(server)
+        self.idle.borrow_mut().retain(|server, connections| {
+            connections.retain(|connection| connection.is_usable(now));
+            !connections.is_empty() && is_registered(server)
         });
     }
 
-    pub(crate) fn len(&self) -> usize {
+    pub(crate) fn idle_count(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 }
--- a/src/gateway/tokens/counter.rs
+++ b/src/gateway/tokens/counter.rs
@@ -74,12 +74,12 @@
     /// Answers a question of another VM.
     pub(crate) async fn answer(self: &Rc<Self>, asked: Asked, question: Question) -> Reply {
         match question {
-            Question::Place(ask) => self.lease_to(asked, ask).await,
+            Question::Place(ask) => self.lease_slot(asked, ask).await,
             Question::Take {
                 part,
                 take,
                 takeover,
-            } => self.take_of_team(part, take, takeover).await,
+            } => self.admit_team_request(part, take, takeover).await,
             Question::Reserve {
                 part,
                 program,
@@ -156,7 +156,7 @@
     /// Takes in what another VM tells.
     pub(crate) async fn noted(&self, from: SocketAddr, note: Note) {
         match note {
-            Note::Left { number, outcome } => self.leases.end(&(from, number), outcome),
+            Note::Left { number, outcome } => self.leases.release(&(from, number), outcome),
             Note::Settled {
                 part,
                 reservation,
--- a/src/gateway/tokens/part.rs
+++ b/src/gateway/tokens/part.rs
@@ -1,6 +1,6 @@
 //! One partition of programs: its ledger, and what is known of its records.
 
-use crate::gateway::limits::count::Counted;
+use crate::gateway::limits::count::Quotas;
 use crate::policy::allowance::{Entry, Ledger};
 use crate::policy::trust::Origin;
 use std::cell::{Cell, RefCell};
@@ -26,7 +26,7 @@
     pub(crate) hold: Cell<Option<Hold>>,
     pub(crate) ledger: RefCell<Ledger>,
     /// The teams that fall into it.
-    pub(crate) teams: RefCell<Counted>,
+    pub(crate) teams: RefCell<Quotas>,
     /// When the write began that the store took last, by the steady clock and the time of day.
     pub(crate) confirmed: Cell<Option<(Instant, u64)>>,
     /// Allowances that are not durable yet.
