--- a/src/gateway/limits/mod.rs
+++ b/src/gateway/limits/mod.rs
@@ -3,9 +3,9 @@
 //! The owner of a partition also counts the requests of the teams that hash to it. Ownership, takeover and fencing of
 //! partitions are handled in `tokens`.
 
+mod acquire;
 pub(crate) mod count;
 mod stall;
-mod take;
 
 use crate::policy::quota::Needs;
 use stall::StallDetector;
