--- a/src/gateway/limits/acquire.rs
+++ b/src/gateway/limits/acquire.rs
@@ -1,4 +1,4 @@
-//! Checks a request against its team's rate limit, at the VM that counts the team.
+//! Checks a request against its team limit, at the VM that owns the team's partition.
 
 use crate::code::{Code, Failure};
 use crate::gateway::Gateway;
@@ -9,15 +9,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// `Retry-After` while no VM counts the team; a partition is taken over within that time.
+/// `Retry-After` while no VM owns the team's partition; a takeover is complete within that time.
 const NO_OWNER_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl Gateway {
     /// Counts a request against its team's limit; returns the delay before it may be sent.
     ///
     /// # Errors
-    /// [`Code::LimitReached`] if the team has used up its limit; [`Code::LogUnavailable`] if no VM can count
-    /// the team now.
+    /// [`Code::LimitReached`] if the team has used up its limit; [`Code::LogUnavailable`] if no VM can check
+    /// the limit now.
     pub(crate) async fn acquire_from_limit(
         self: &Rc<Self>,
         team: &Team,
@@ -52,7 +52,7 @@
             _ => {
                 let failure = Failure::refused(
                     Code::LogUnavailable,
-                    "no VM can count the requests of the team now",
+                    "no VM can check the limit of the team now",
                 );
                 Err(failure.retry_after(NO_OWNER_RETRY_AFTER))
             }
--- a/src/gateway/limits/count.rs
+++ b/src/gateway/limits/count.rs
@@ -45,7 +45,7 @@
 
 /// Maximum teams listed on the operators' state page.
 const MAX_LISTED_TEAMS: usize = 20;
-/// Epoch used by a VM that counts teams while no VM owns their partition.
+/// Epoch under which a VM counts teams while no VM owns their partition.
 const NO_OWNER_EPOCH: u64 = 0;
 
 impl Gateway {
@@ -69,7 +69,7 @@
         let epoch = part.epoch();
         let share = self.share(&part).await;
         if part.epoch() != epoch {
-            // This VM lost the partition meanwhile.
+            // Ownership of the partition changed meanwhile, so the share is outdated.
             return Reply::NotOwner;
         }
         self.check_quota(partition, &part, &acquisition, share)
@@ -147,7 +147,7 @@
         }
     }
 
-    /// When quotas in a partition that this VM counts from `now` on start with an empty bucket.
+    /// When quotas of a partition that this VM owns since `now` start with an empty bucket.
     fn quota_start(&self, part: &Part, now: Instant) -> Instant {
         let window = self.limit_bound().window;
         origin(part, now).begins(now, self.keeper.began, window)
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The share of each limit that this VM may grant in a partition that it counts.
+    /// The share of each limit that this VM may grant in a partition that it owns.
     async fn share(&self, part: &Part) -> Share {
         self.limit_state.stall.check();
         let confirmed = Self::since_confirmed(part);
@@ -201,7 +201,7 @@
         confirmed.map_or(Duration::MAX, |confirmed| elapsed_between(confirmed, now))
     }
 
-    /// The teams with the most granted requests among those that this VM counts, for the operators' state page.
+    /// The teams with the most granted requests in the partitions of this VM, for the operators' state page.
     pub(crate) fn busiest_teams(&self) -> Vec<Value> {
         let mut teams_by_use = Vec::new();
         for (partition, part) in self.keeper.held() {
@@ -220,7 +220,7 @@
         teams_by_use.into_iter().map(|(_, row)| row).collect()
     }
 
-    /// Detects whether this process was suspended since the last check.
+    /// Detects whether this process was suspended since the last call.
     pub(crate) fn check_for_stall(&self) {
         self.limit_state.stall.check();
     }
@@ -228,7 +228,7 @@
 
 /// How this VM came to own the partition.
 fn origin(part: &Part, now: Instant) -> Origin {
-    // Without a hold on the partition, an unreachable owner may still be counting it.
+    // While this VM does not own the partition, an unreachable owner may still grant requests.
     let possible_owner = Origin::Silent(now);
     part.hold.get().map_or(possible_owner, |hold| hold.origin)
 }
--- a/src/gateway/limits/mod.rs
+++ b/src/gateway/limits/mod.rs
@@ -1,6 +1,6 @@
-//! Rate limits of teams across all VMs.
+//! Team limits, enforced across all VMs.
 //!
-//! The owner of a partition also counts the requests of the teams that hash to it. Ownership, takeover and fencing of
+//! The VM that owns a partition also counts the requests of the teams that hash to it. Ownership, takeover and fencing of
 //! partitions are handled in `tokens`.
 
 mod acquire;
--- a/src/gateway/queue/lease.rs
+++ b/src/gateway/queue/lease.rs
@@ -29,7 +29,7 @@
 /// A VM may own a queue if it has at least the CPU share of the largest VM divided by this, since the
 /// owner handles the datagrams of all VMs.
 const MIN_CORES_DIVISOR: u64 = 2;
-/// How long a lease outlives the time limit of its request, if no release message arrives.
+/// How long a lease outlives the request's time limit, if no release message arrives.
 const LEASE_GRACE: Duration = Duration::from_millis(300);
 
 /// A slot in use by another VM.
@@ -50,8 +50,8 @@
 impl Leases {
     /// Cancels the wait of a request of another VM, or releases its slot.
     pub(crate) fn release(&self, asked: &Asked, outcome: Outcome) {
-        let waiting = self.waiting.borrow_mut().remove(asked);
-        if let Some(cancel) = waiting {
+        let cancel = self.waiting.borrow_mut().remove(asked);
+        if let Some(cancel) = cancel {
             // Fails if the slot was granted meanwhile; then the lease is released below.
             let _ = cancel.send(());
         }
@@ -108,31 +108,31 @@
     /// time.
     pub(crate) async fn acquire_shared_permit(
         self: &Rc<Self>,
-        ask: &mut Ask,
+        request: &mut Ask,
     ) -> Result<Permit, Failure> {
-        for peer in self.queue_owners(&ask.service) {
+        for peer in self.queue_owners(&request.service) {
             for _ in 0..MAX_REJECTED_SLOTS {
-                match self.acquire_from_peer(peer.address, ask).await {
+                match self.acquire_from_peer(peer.address, request).await {
                     None => break,
                     Some(Ok(permit)) => return Ok(permit),
                     Some(Err(AcquireError::Failure(failure))) => return Err(failure),
-                    Some(Err(AcquireError::UnusableServer(server))) => ask.avoid.push(server),
+                    Some(Err(AcquireError::UnusableServer(server))) => request.avoid.push(server),
                 }
             }
         }
-        self.acquire_local_permit(ask.clone()).await
+        self.acquire_local_permit(request.clone()).await
     }
 
     /// Asks one VM for a slot; `None` if it does not answer or does not own the queue.
     async fn acquire_from_peer(
         self: &Rc<Self>,
         peer: SocketAddr,
-        ask: &Ask,
+        request: &Ask,
     ) -> Option<Result<Permit, AcquireError>> {
-        let number = self.peers.number();
-        let slot = SlotGuard::new(Rc::clone(self), SlotOwner::Remote(peer, number));
-        let question = Question::Place(ask.clone());
-        let reply = self.peers.ask_as(number, peer, &question).await?;
+        let question_number = self.peers.number();
+        let slot = SlotGuard::new(Rc::clone(self), SlotOwner::Remote(peer, question_number));
+        let question = Question::Place(request.clone());
+        let reply = self.peers.ask_as(question_number, peer, &question).await?;
         let server = match reply {
             Reply::Placed(server) => server,
             Reply::NoServer => return Some(Err(AcquireError::Failure(no_server()))),
@@ -151,7 +151,7 @@
     }
 
     /// Leases a slot to another VM, as soon as one is free.
-    pub(crate) async fn lease_slot(self: &Rc<Self>, asked: Asked, ask: Ask) -> Reply {
+    pub(crate) async fn lease_slot(self: &Rc<Self>, asked: Asked, request: Ask) -> Reply {
         if let Some(server) = self.leases.leased_server(&asked) {
             // A repeated question, since the reply was lost.
             return Reply::Placed(server);
@@ -160,11 +160,11 @@
             // Just started with an incomplete directory; the caller asks the next VM.
             return Reply::NotOwner;
         }
-        let limit = Duration::from_millis(ask.limit_ms);
-        let expires = Instant::now() + limit + LEASE_GRACE;
+        let max_wait = Duration::from_millis(request.limit_ms);
+        let expires = Instant::now() + max_wait + LEASE_GRACE;
         let (cancel, cancelled) = oneshot::channel();
         self.leases.waiting.borrow_mut().insert(asked, cancel);
-        let mut permit = pin!(self.acquire_local_permit(ask));
+        let mut permit = pin!(self.acquire_local_permit(request));
         let immediate = tokio::select! {
             biased;
             permit = &mut permit => Some(permit),
@@ -177,7 +177,7 @@
             tokio::select! {
                 permit = &mut permit => permit,
                 _ = cancelled => return Reply::NotOwner,
-                () = sleep(limit) => {
+                () = sleep(max_wait) => {
                     self.leases.waiting.borrow_mut().remove(&asked);
                     return Reply::NotOwner;
                 }
--- a/src/gateway/queue/permit.rs
+++ b/src/gateway/queue/permit.rs
@@ -207,18 +207,21 @@
     /// # Errors
     /// [`Code::NoServer`] if the service has no server, [`Code::Overloaded`] if none will be free in
     /// time.
-    pub(crate) async fn acquire_local_permit(self: &Rc<Self>, ask: Ask) -> Result<Permit, Failure> {
+    pub(crate) async fn acquire_local_permit(
+        self: &Rc<Self>,
+        request: Ask,
+    ) -> Result<Permit, Failure> {
         loop {
             let permit = id::Permit(self.queue.next_permit.get());
             self.queue.next_permit.set(permit.0 + 1);
             let now = Instant::now();
-            let verdict = self
+            let placement = self
                 .queue
                 .dispatcher
                 .borrow_mut()
-                .ask(now, permit, ask.clone());
+                .ask(now, permit, request.clone());
             let slot = SlotGuard::new(Rc::clone(self), SlotOwner::Local(permit));
-            let server = match verdict {
+            let server = match placement {
                 Verdict::Granted(server) => server,
                 Verdict::NoServer => return Err(no_server()),
                 Verdict::Refused(retry_after) => return Err(overloaded(retry_after)),
--- a/src/gateway/request/identify.rs
+++ b/src/gateway/request/identify.rs
@@ -24,9 +24,9 @@
     let Some(teams) = &table.teams else {
         return Ok(None);
     };
-    let holder = key.and_then(|key| teams.holder(key.as_bytes()).cloned());
-    if holder.is_some() || route.public {
-        return Ok(holder);
+    let team = key.and_then(|key| teams.holder(key.as_bytes()).cloned());
+    if team.is_some() || route.public {
+        return Ok(team);
     }
     // A stale configuration may lack a new key, and callers do not retry a 401.
     if let Some(failure) = stale_config_failure(gateway) {
--- a/src/gateway/request/job.rs
+++ b/src/gateway/request/job.rs
@@ -40,7 +40,7 @@
     pub(crate) deadline: Instant,
     /// Tokens in one event of the response; 0 where the service generates none.
     pub(crate) tokens_per_event: u64,
-    /// Token reservation of this turn in the budget of its program.
+    /// Grant for the tokens that this turn may generate, from the token budget of its program.
     pub(crate) allowance: RefCell<Option<Allowance>>,
     /// Servers that a permit was obtained for, in order.
     pub(crate) servers: RefCell<Vec<Id>>,
@@ -94,7 +94,7 @@
         if succeeded && !gateway.sampler.takes(&self.meta.id) {
             return;
         }
-        let allowance = self.allowance.borrow();
+        let grant = self.allowance.borrow();
         event!(
             info,
             "request_ended",
@@ -107,7 +107,7 @@
             service = self.service,
             servers = self.servers.borrow().join(","),
             program = self.meta.program.as_deref().unwrap_or_default(),
-            turn = allowance.as_ref().map_or(0, |allowance| allowance.turns),
+            turn = grant.as_ref().map_or(0, |grant| grant.turns),
             parts = self.meta.prompt.len(),
             events = self.events_relayed.get(),
             waited_ms = self.queue_time.get().as_millis(),
@@ -126,16 +126,16 @@
 }
 
 impl Drop for Job {
-    /// Returns unused tokens to the program's budget.
+    /// Returns unused tokens to the token budget of the program.
     fn drop(&mut self) {
         if !self.end_recorded.get() {
             self.record_end("caller_left", false);
         }
-        let Some(allowance) = self.allowance.take() else {
+        let Some(grant) = self.allowance.take() else {
             return;
         };
-        let used = self.events_relayed.get() * self.tokens_per_event;
+        let used_tokens = self.events_relayed.get() * self.tokens_per_event;
         let gateway = Rc::clone(&self.gateway);
-        tokio::task::spawn_local(async move { gateway.settle(allowance, used).await });
+        tokio::task::spawn_local(async move { gateway.settle(grant, used_tokens).await });
     }
 }
--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -138,12 +138,12 @@
 /// Waits for a permit at a server that is not in `avoid`.
 async fn acquire_permit(job: &Rc<Job>, avoid: &[Arc<str>]) -> Result<Permit, Failure> {
     let started = Instant::now();
-    let mut ask = dispatch_ask(job, avoid);
+    let mut request = dispatch_request(job, avoid);
     // Only services that generate tokens share one queue across all VMs.
     let permit = if job.tokens_per_event > 0 {
-        job.gateway.acquire_shared_permit(&mut ask).await
+        job.gateway.acquire_shared_permit(&mut request).await
     } else {
-        job.gateway.acquire_local_permit(ask).await
+        job.gateway.acquire_local_permit(request).await
     };
     job.queue_time.set(job.queue_time.get() + started.elapsed());
     if let Ok(permit) = &permit {
@@ -188,7 +188,7 @@
     delay
 }
 
-/// Reserves the turn's tokens in the budget of its program.
+/// Reserves the turn's tokens in the token budget of its program.
 async fn reserve_tokens(job: &Job) -> Result<(), Failure> {
     let (Some(program), Some(budget)) = (&job.meta.program, job.meta.budget) else {
         return Ok(());
@@ -199,26 +199,26 @@
     let max_events = job.meta.most_tokens.div_ceil(job.tokens_per_event);
     let max_tokens = max_events * job.tokens_per_event;
     let started = Instant::now();
-    let allowance = job.gateway.reserve(program, budget, max_tokens).await;
+    let grant = job.gateway.reserve(program, budget, max_tokens).await;
     job.reservation_time.set(started.elapsed());
     job.gateway.metrics.allowed(started.elapsed());
-    let allowance = allowance?;
-    job.allowance.replace(Some(allowance));
+    let grant = grant?;
+    job.allowance.replace(Some(grant));
     Ok(())
 }
 
-fn dispatch_ask(job: &Job, avoid: &[Arc<str>]) -> Ask {
+fn dispatch_request(job: &Job, avoid: &[Arc<str>]) -> Ask {
     let age_ms = i64::try_from(job.age_ms()).unwrap_or(i64::MAX);
-    let objective_ms = i64::try_from(job.route.objective.as_millis()).unwrap_or(i64::MAX);
-    let allowance = job.allowance.borrow();
+    let latency_target_ms = i64::try_from(job.route.objective.as_millis()).unwrap_or(i64::MAX);
+    let grant = job.allowance.borrow();
     Ask {
         service: Arc::clone(&job.service),
         zone: job.gateway.zone(),
         vm: job.gateway.number(),
         rank: job.rank(),
         program: job.meta.program.as_ref().map(|program| hash(program)),
-        turns: allowance.as_ref().map_or(0, |allowance| allowance.turns),
-        left_ms: job.meta.finish_ms.unwrap_or(objective_ms) - age_ms,
+        turns: grant.as_ref().map_or(0, |grant| grant.turns),
+        left_ms: job.meta.finish_ms.unwrap_or(latency_target_ms) - age_ms,
         limit_ms: u64::try_from(job.remaining().as_millis()).unwrap_or(u64::MAX),
         line: job.meta.line.as_ref().map(|line| hash(line)),
         prompt: job.meta.prompt.clone(),
--- a/src/gateway/server/attempt.rs
+++ b/src/gateway/server/attempt.rs
@@ -169,17 +169,17 @@
         }
         Err(SendError::OutcomeUnknown) => return Err(SendError::OutcomeUnknown),
     };
-    let verdict = Verdict::of(response.headers());
+    let response_headers = Verdict::of(response.headers());
     let status = response.status();
-    let id_matches = verdict.id.as_deref() == Some(job.meta.id.as_str());
-    let refused = verdict.not_run || status == StatusCode::MISDIRECTED_REQUEST;
+    let id_matches = response_headers.id.as_deref() == Some(job.meta.id.as_str());
+    let refused = response_headers.not_run || status == StatusCode::MISDIRECTED_REQUEST;
     // A refusal may lack the request ID; as the first response on a connection it can't belong to another request.
-    if !(id_matches || refused && verdict.id.is_none() && connection.is_first_response()) {
+    if !(id_matches || refused && response_headers.id.is_none() && connection.is_first_response()) {
         return Ok(AttemptResult::OutcomeUnknown("foreign_answer"));
     }
     if refused {
         job.may_have_run.set(earlier_attempt_may_have_run);
-        reuse_after_body(job, connection, response.into_body(), &verdict).await;
+        reuse_after_body(job, connection, response.into_body(), &response_headers).await;
         return Ok(AttemptResult::NotRun(
             if status == StatusCode::MISDIRECTED_REQUEST {
                 "other_instance"
@@ -188,7 +188,7 @@
             },
         ));
     }
-    if status.is_success() && (!verdict.sealed || verdict.encoded) {
+    if status.is_success() && (!response_headers.sealed || response_headers.encoded) {
         return Ok(AttemptResult::OutcomeUnknown("unproved_answer"));
     }
     let (parts, body) = response.into_parts();
@@ -196,9 +196,9 @@
         connection,
         body,
         splitter: EventSplitter::default(),
-        keep_alive: verdict.keep,
-        closes: verdict.closes,
-        load: verdict.load,
+        keep_alive: response_headers.keep,
+        closes: response_headers.closes,
+        load: response_headers.load,
         started,
     };
     let headers = headers::answer(&parts.headers);
@@ -223,7 +223,7 @@
         status,
         headers,
         body,
-        load: verdict.load,
+        load: response_headers.load,
     }))
 }
 
@@ -232,10 +232,12 @@
     job: &Job,
     connection: Connection,
     mut body: Incoming,
-    verdict: &Verdict,
+    response_headers: &Verdict,
 ) {
-    if !verdict.closes && read_body(&mut body).await.is_some() {
-        job.gateway.connections.put(connection, verdict.keep);
+    if !response_headers.closes && read_body(&mut body).await.is_some() {
+        job.gateway
+            .connections
+            .put(connection, response_headers.keep);
     }
 }
 
