--- a/src/gateway/limits/count.rs
+++ b/src/gateway/limits/count.rs
@@ -67,7 +67,7 @@
             }
         }
         let epoch = part.epoch();
-        let share = self.share(&part).await;
+        let share = self.grantable_share(&part).await;
         if part.epoch() != epoch {
             // Ownership of the partition changed meanwhile, so the share is outdated.
             return Reply::NotOwner;
@@ -101,7 +101,7 @@
         let epoch = part.epoch().unwrap_or(NO_OWNER_EPOCH);
         let now = Instant::now();
         let limit = self.limit_of(acquisition);
-        let bound = self.limit_bound();
+        let tolerance = self.limit_tolerance();
         let mut teams = part.teams.borrow_mut();
         if teams.start.is_none() || teams.epoch != epoch {
             *teams = Quotas {
@@ -113,7 +113,7 @@
         let start = teams.start.unwrap_or(now);
         let quota = teams.by_team.entry(acquisition.team.clone());
         let quota = quota.or_insert_with(|| Quota::new(start));
-        quota.set(now, &bound, limit, share);
+        quota.set(now, &tolerance, limit, share);
         let request = Request {
             program: acquisition.program,
             class: acquisition.class,
@@ -149,7 +149,7 @@
 
     /// When quotas of a partition that this VM owns since `now` start with an empty bucket.
     fn quota_start(&self, part: &Part, now: Instant) -> Instant {
-        let window = self.limit_bound().window;
+        let window = self.limit_tolerance().window;
         origin(part, now).begins(now, self.keeper.began, window)
     }
 
@@ -163,7 +163,7 @@
             .unwrap_or(acquisition.limit)
     }
 
-    pub(super) fn limit_bound(&self) -> Bound {
+    pub(super) fn limit_tolerance(&self) -> Bound {
         let limits = self.settings.limits;
         Bound {
             window: Duration::from_secs_f64(limits.window_s),
@@ -173,7 +173,7 @@
     }
 
     /// The share of each limit that this VM may grant in a partition that it owns.
-    async fn share(&self, part: &Part) -> Share {
+    async fn grantable_share(&self, part: &Part) -> Share {
         self.limit_state.stall.check();
         let confirmed = Self::since_confirmed(part);
         let reach = if confirmed < CONFIRMED {
--- a/src/gateway/queue/lease.rs
+++ b/src/gateway/queue/lease.rs
@@ -26,8 +26,8 @@
 /// Maximum slots rejected because their server is draining or unknown here, before the next VM is
 /// asked.
 const MAX_REJECTED_SLOTS: usize = 3;
-/// A VM may own a queue if it has at least the CPU share of the largest VM divided by this, since the
-/// owner handles the datagrams of all VMs.
+/// A VM may own a queue if it has at least the processor time of the largest VM divided by this, since
+/// the owner handles the datagrams of all VMs.
 const MIN_CORES_DIVISOR: u64 = 2;
 /// How long a lease outlives the request's time limit, if no release message arrives.
 const LEASE_GRACE: Duration = Duration::from_millis(300);
--- a/src/gateway/request/stream.rs
+++ b/src/gateway/request/stream.rs
@@ -32,7 +32,7 @@
         transcript: job.route.keeps_turns.then(Transcript::default),
         chunks,
     };
-    tokio::task::spawn_local(stream_relay.run(stream.first));
+    tokio::task::spawn_local(stream_relay.run(stream.first_batch));
     response
 }
 
@@ -58,8 +58,8 @@
 }
 
 impl StreamRelay {
-    async fn run(mut self, first: Option<EventBatch>) {
-        let mut end = match first {
+    async fn run(mut self, first_batch: Option<EventBatch>) {
+        let mut end = match first_batch {
             Some(batch) => self.forward(batch).await,
             None => Some(StreamEnd::Complete),
         };
@@ -121,15 +121,15 @@
     }
 
     async fn resume_at_server(&mut self, reason: &'static str) -> Option<StreamEnd> {
-        let mut resumed = attempt(&self.job, &self.permit, self.last_event).await;
+        let mut resume_result = attempt(&self.job, &self.permit, self.last_event).await;
         log_resume(
             &self.job,
             &self.permit.server.id,
             reason,
-            &resumed,
+            &resume_result,
             self.last_event,
         );
-        if matches!(resumed, AttemptResult::Unreachable) {
+        if matches!(resume_result, AttemptResult::Unreachable) {
             let avoid = [Arc::clone(&self.permit.server.id)];
             match acquire_permit(&self.job, &avoid).await {
                 Ok(permit) => {
@@ -138,20 +138,20 @@
                 }
                 Err(_) => return Some(StreamEnd::Broken(reason)),
             }
-            resumed = attempt(&self.job, &self.permit, self.last_event).await;
+            resume_result = attempt(&self.job, &self.permit, self.last_event).await;
             log_resume(
                 &self.job,
                 &self.permit.server.id,
                 reason,
-                &resumed,
+                &resume_result,
                 self.last_event,
             );
         }
-        let AttemptResult::Stream(stream) = resumed else {
+        let AttemptResult::Stream(stream) = resume_result else {
             return Some(StreamEnd::Broken(reason));
         };
         self.source = stream.source;
-        match stream.first {
+        match stream.first_batch {
             Some(batch) => self.forward(batch).await,
             None => Some(StreamEnd::Complete),
         }
@@ -210,10 +210,10 @@
     job: &Job,
     server: &str,
     reason: &str,
-    resumed: &AttemptResult,
+    resume_result: &AttemptResult,
     last_event: Option<u64>,
 ) {
-    let outcome = match resumed {
+    let outcome = match resume_result {
         AttemptResult::Stream(_) => "resumed",
         AttemptResult::Response(_) => "other_answer",
         AttemptResult::NotRun(reason) | AttemptResult::OutcomeUnknown(reason) => reason,
--- a/src/gateway/server/attempt.rs
+++ b/src/gateway/server/attempt.rs
@@ -52,7 +52,7 @@
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     /// `None` if the stream ended without an event.
-    pub(crate) first: Option<EventBatch>,
+    pub(crate) first_batch: Option<EventBatch>,
     pub(crate) source: EventSource,
 }
 
@@ -203,7 +203,7 @@
     };
     let headers = headers::answer(&parts.headers);
     if job.route.kind == Kind::Stream && status.is_success() {
-        let first = match source.next().await {
+        let first_batch = match source.next().await {
             StreamItem::Events(batch) => Some(batch),
             StreamItem::End => None,
             StreamItem::Broken(reason) => return Ok(AttemptResult::OutcomeUnknown(reason)),
@@ -211,7 +211,7 @@
         return Ok(AttemptResult::Stream(Box::new(Stream {
             status,
             headers,
-            first,
+            first_batch,
             source,
         })));
     }
