--- a/src/gateway/limits/count.rs
+++ b/src/gateway/limits/count.rs
@@ -182,16 +182,16 @@
             Some(self.reach().await)
         };
         let now = Instant::now();
-        let doubted = origin(part, now).doubted(now);
-        let standing = Standing {
+        let overlap_age = origin(part, now).doubted(now);
+        let status = Standing {
             confirmed,
-            doubted: doubted
+            doubted: overlap_age
                 .into_iter()
                 .chain(self.limit_state.stall.since_last_stall())
                 .min(),
             reach,
         };
-        standing.share()
+        status.share()
     }
 
     /// Time since the store last confirmed that this VM owns the partition.
@@ -229,8 +229,8 @@
 /// How this VM came to own the partition.
 fn origin(part: &Part, now: Instant) -> Origin {
     // While this VM does not own the partition, an unreachable owner may still grant requests.
-    let possible_owner = Origin::Silent(now);
-    part.hold.get().map_or(possible_owner, |hold| hold.origin)
+    let unknown_owner = Origin::Silent(now);
+    part.hold.get().map_or(unknown_owner, |hold| hold.origin)
 }
 
 fn millis(time: Duration) -> u64 {
