--- a/src/gateway/conversation/record.rs
+++ b/src/gateway/conversation/record.rs
@@ -68,7 +68,7 @@
         // Copied, since a slice would keep the whole buffer alive.
         let turn = Rc::new(Turn {
             id,
-            prev: job.prev.clone(),
+            prev: job.prev_turn.clone(),
             until_ms: retention_end_ms(retention),
             input: Bytes::copy_from_slice(&job.input),
             output: Bytes::copy_from_slice(&transcript.finish()),
@@ -79,7 +79,7 @@
         }
         let cutoff = job.deadline.checked_sub(WRITE_CUTOFF).unwrap_or(began);
         let recorded = timeout_at(cutoff, self.record_turn(&turn)).await.ok();
-        job.kept.set(began.elapsed());
+        job.turn_save_time.set(began.elapsed());
         let at = recorded.map_or("nowhere", RecordedVia::label);
         self.metrics.kept(began.elapsed(), at);
         if recorded != Some(RecordedVia::Store) || self.sampler.takes(&job.meta.id) {
--- a/src/gateway/limits/count.rs
+++ b/src/gateway/limits/count.rs
@@ -1,8 +1,8 @@
-//! Counts the requests of teams for the VMs that ask.
+//! Counts the requests of teams against their limits, on the VM that owns the team's partition.
 
 use crate::clock;
 use crate::gateway::Gateway;
-use crate::gateway::limits::stall::since;
+use crate::gateway::limits::stall::elapsed_between;
 use crate::gateway::peers::Reply;
 use crate::gateway::tokens::failover::STORE_CONTACT_MAX_AGE;
 use crate::gateway::tokens::partition::Partition;
@@ -17,69 +17,72 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// May a request of a team go?
+/// Asks whether a request of a team is within the team's limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Take {
+pub(crate) struct Acquisition {
     pub(crate) team: String,
-    /// The limit as the asking VM knows it, and the version of its configuration.
+    /// The limit in the configuration of the asking VM.
     pub(crate) limit: Limit,
+    /// Version of that configuration.
     pub(crate) version: u64,
-    /// The program, by a hash.
+    /// Hash of the program name.
     pub(crate) program: Option<u64>,
-    /// The class of programs that its route tells of, by a hash.
+    /// Hash of the route name, which stands for a class of programs; `None` on routes that start no program.
     pub(crate) class: Option<u64>,
+    /// How long the request may be delayed.
     pub(crate) patience_ms: u64,
 }
 
-/// The teams of one partition, as long as this VM counts it.
+/// Quotas of the teams of one partition, on the VM that owns it.
 #[derive(Debug, Default)]
-pub(crate) struct Counted {
-    /// The epoch under which it counts them; what was granted under another one is not known.
+pub(crate) struct Quotas {
+    /// Ownership epoch of the quotas; a new epoch starts with empty ones.
     epoch: u64,
-    since: Option<Instant>,
-    quotas: HashMap<String, Quota>,
+    /// When the quotas of this epoch start with an empty bucket.
+    start: Option<Instant>,
+    by_team: HashMap<String, Quota>,
 }
 
-/// Teams that a person is shown.
-const SHOWN: usize = 20;
-/// The epoch of a VM that counts teams while nobody has their partition.
-const STANDING_IN: u64 = 0;
+/// Maximum teams listed on the operators' state page.
+const MAX_LISTED_TEAMS: usize = 20;
+/// Epoch under which a VM counts teams while no VM owns their partition.
+const NO_OWNER_EPOCH: u64 = 0;
 
 impl Gateway {
-    /// Answers another VM, or this one, whether a request of a team may go.
-    pub(crate) async fn take_of_team(
+    /// Answers a limit question of another VM or of this one.
+    pub(crate) async fn admit_team_request(
         self: &Rc<Self>,
-        number: u64,
-        take: Take,
+        partition: u64,
+        acquisition: Acquisition,
         takeover: bool,
     ) -> Reply {
-        let part = self.keeper.partition(number);
+        let part = self.keeper.partition(partition);
         part.wait_for_handover().await;
         if part.ownership.get().is_none() {
-            let refusal = self.take_ownership(number, &part, takeover).await;
+            let refusal = self.take_ownership(partition, &part, takeover).await;
             if let Some(refusal) = refusal
-                && !(takeover && self.stands_in(number).await)
+                && !(takeover && self.may_count_without_owner(partition).await)
             {
                 return refusal;
             }
         }
         let epoch = part.epoch();
-        let share = self.share(&part).await;
+        let share = self.grantable_share(&part).await;
         if part.epoch() != epoch {
-            // It was shut out meanwhile, and the share is another one's.
+            // Ownership of the partition changed meanwhile, so the share is outdated.
             return Reply::NotOwner;
         }
-        self.grant(number, &part, &take, share)
+        self.check_quota(partition, &part, &acquisition, share)
     }
 
-    /// Whether this VM counts the teams of a partition that nobody can take.
+    /// Whether this VM may count the teams of a partition that no VM can take over.
     ///
-    /// With a third of the VMs cut off, tools of programs that came through them were refused for as long as that
-    /// lasted, though limits allow for some counters that know nothing of each other.
-    async fn stands_in(&self, number: u64) -> bool {
-        let counted = self.claimed_owner(number);
-        let counted = counted.filter(|other| other.vm != self.settings.vm);
-        if counted.is_some_and(|other| !self.peers.is_silent(other.address)) {
+    /// Keeps requests flowing on VMs that are cut off from the others. The tolerance of the limits allows for a few
+    /// VMs that count independently.
+    async fn may_count_without_owner(&self, partition: u64) -> bool {
+        let owner = self.claimed_owner(partition);
+        let owner = owner.filter(|other| other.vm != self.settings.vm);
+        if owner.is_some_and(|other| !self.peers.is_silent(other.address)) {
             return false;
         }
         if !self.reaches_most().await {
@@ -87,77 +90,84 @@
         }
         !self.has_store()
             && self
-                .peers_reaching_store(number, STORE_CONTACT_MAX_AGE)
+                .peers_reaching_store(partition, STORE_CONTACT_MAX_AGE)
                 .await
                 .is_empty()
     }
 
-    fn grant(&self, number: u64, part: &Partition, take: &Take, share: Share) -> Reply {
-        let epoch = part.epoch().unwrap_or(STANDING_IN);
+    fn check_quota(
+        &self,
+        partition: u64,
+        part: &Partition,
+        acquisition: &Acquisition,
+        share: Share,
+    ) -> Reply {
+        let epoch = part.epoch().unwrap_or(NO_OWNER_EPOCH);
         let now = Instant::now();
-        let limit = self.limit_of(take);
-        let bound = self.limit_bound();
+        let limit = self.limit_of(acquisition);
+        let tolerance = self.limit_tolerance();
         let mut teams = part.teams.borrow_mut();
-        if teams.since.is_none() || teams.epoch != epoch {
-            *teams = Counted {
+        if teams.start.is_none() || teams.epoch != epoch {
+            *teams = Quotas {
                 epoch,
-                since: Some(self.begins_to_grant(part, now)),
-                quotas: HashMap::new(),
+                start: Some(self.quota_start(part, now)),
+                by_team: HashMap::new(),
             };
         }
-        let began = teams.since.unwrap_or(now);
-        let quota = teams.quotas.entry(take.team.clone());
-        let quota = quota.or_insert_with(|| Quota::new(began));
-        quota.configure(now, &bound, limit, share);
+        let start = teams.start.unwrap_or(now);
+        let quota = teams.by_team.entry(acquisition.team.clone());
+        let quota = quota.or_insert_with(|| Quota::new(start));
+        quota.configure(now, &tolerance, limit, share);
         let request = Request {
-            program: take.program,
-            class: take.class,
-            max_wait: Duration::from_millis(take.patience_ms),
+            program: acquisition.program,
+            class: acquisition.class,
+            max_wait: Duration::from_millis(acquisition.patience_ms),
         };
-        match quota.decide(now, &mut self.counting.needs.borrow_mut(), request) {
-            Verdict::Granted(wait) => Reply::Admitted {
-                wait_ms: millis(wait),
+        match quota.decide(now, &mut self.limit_state.needs.borrow_mut(), request) {
+            Verdict::Granted(delay) => Reply::Admitted {
+                wait_ms: millis(delay),
             },
-            Verdict::Refused(back) => {
-                if self.sampler.takes(&take.team) {
+            Verdict::Refused(retry_after) => {
+                if self.sampler.takes(&acquisition.team) {
                     event!(
                         info,
                         "limit_reached",
-                        team = take.team,
-                        part = number,
+                        team = acquisition.team,
+                        part = partition,
                         epoch = epoch,
                         per_second = limit.per_second,
                         burst = limit.burst,
                         share = format!("{share:?}"),
                         granted = quota.granted_in_window(),
                         programs = quota.active_programs(),
-                        counted_ms = millis(now.saturating_duration_since(began)),
-                        back_ms = millis(back)
+                        counted_ms = millis(now.saturating_duration_since(start)),
+                        back_ms = millis(retry_after)
                     );
                 }
                 Reply::OverLimit {
-                    retry_ms: millis(back),
+                    retry_ms: millis(retry_after),
                 }
             }
         }
     }
 
-    /// When this VM begins to grant requests of a partition that it counts since `now`.
-    fn begins_to_grant(&self, part: &Partition, now: Instant) -> Instant {
-        let window = self.limit_bound().window;
+    /// When quotas of a partition that this VM owns since `now` start with an empty bucket.
+    fn quota_start(&self, part: &Partition, now: Instant) -> Instant {
+        let window = self.limit_tolerance().window;
         origin(part, now).grants_from(now, self.keeper.started_at, window)
     }
 
-    /// The limit of a team, by the newer one of two configurations.
-    fn limit_of(&self, take: &Take) -> Limit {
+    /// The team's limit in the newer configuration: this VM's or the asking VM's.
+    fn limit_of(&self, acquisition: &Acquisition) -> Limit {
         let world = self.world.borrow();
         let table = world.table.as_ref();
-        let table = table.filter(|table| table.version >= take.version);
-        let team = table.and_then(|table| table.teams.as_ref()?.by_name(&take.team));
-        team.and_then(|team| team.limit).unwrap_or(take.limit)
+        let table = table.filter(|table| table.version >= acquisition.version);
+        let team = table.and_then(|table| table.teams.as_ref()?.by_name(&acquisition.team));
+        team.and_then(|team| team.limit)
+            .unwrap_or(acquisition.limit)
     }
 
-    pub(super) fn limit_bound(&self) -> Tolerance {
+    pub(super) fn limit_tolerance(&self) -> Tolerance {
         let limits = self.settings.limits;
         Tolerance {
             window: Duration::from_secs_f64(limits.window_s),
@@ -166,10 +176,10 @@
         }
     }
 
-    /// How much of each limit this VM may grant of a partition that it counts.
-    async fn share(&self, part: &Partition) -> Share {
-        self.counting.stall.look();
-        let confirmed_ago = Self::confirmed_ago(part);
+    /// The share of each limit that this VM may grant in a partition that it owns.
+    async fn grantable_share(&self, part: &Partition) -> Share {
+        self.limit_state.stall.check();
+        let confirmed_ago = Self::since_confirmed(part);
         let reach = if confirmed_ago < MAX_CONFIRMATION_AGE {
             None
         } else {
@@ -181,53 +191,55 @@
             confirmed_ago,
             overlap_age: overlap_age
                 .into_iter()
-                .chain(self.counting.stall.ago())
+                .chain(self.limit_state.stall.since_last_stall())
                 .min(),
             reach,
         };
         status.share()
     }
 
-    /// How long ago the store last confirmed that this VM has a partition.
-    fn confirmed_ago(part: &Partition) -> Duration {
+    /// Time since the store last confirmed that this VM owns the partition.
+    fn since_confirmed(part: &Partition) -> Duration {
         let now = (Instant::now(), clock::wall_ms());
         let confirmed = part
             .last_confirmed_write
             .get()
             .filter(|_| part.ownership.get().is_some());
-        confirmed.map_or(Duration::MAX, |confirmed| since(confirmed, now))
+        confirmed.map_or(Duration::MAX, |confirmed| elapsed_between(confirmed, now))
     }
 
-    /// The teams that this VM counts and that used most lately, for a person.
-    pub(crate) fn counted_teams(&self) -> Vec<Value> {
-        let mut counted = Vec::new();
-        for (number, part) in self.keeper.owned() {
+    /// The teams with the most granted requests in the partitions of this VM, for the operators' state page.
+    pub(crate) fn busiest_teams(&self) -> Vec<Value> {
+        let mut teams_by_use = Vec::new();
+        for (partition, part) in self.keeper.owned() {
             let teams = part.teams.borrow();
-            let rows = teams.quotas.iter().map(|(name, quota)| {
+            let rows = teams.by_team.iter().map(|(name, quota)| {
                 let row = json!({
-                    "team": name, "partition": number,
+                    "team": name, "partition": partition,
                     "granted_in_window": quota.granted_in_window(), "programs": quota.active_programs(),
                 });
                 (quota.granted_in_window(), row)
             });
-            counted.extend(rows);
+            teams_by_use.extend(rows);
         }
-        counted.sort_by_key(|(granted, _)| std::cmp::Reverse(*granted));
-        counted.truncate(SHOWN);
-        counted.into_iter().map(|(_, row)| row).collect()
+        teams_by_use.sort_by_key(|(granted, _)| std::cmp::Reverse(*granted));
+        teams_by_use.truncate(MAX_LISTED_TEAMS);
+        teams_by_use.into_iter().map(|(_, row)| row).collect()
     }
 
-    /// Notices whether this VM stood still.
-    pub(crate) fn look_at_clocks(&self) {
-        self.counting.stall.look();
+    /// Detects whether this process was suspended since the last call.
+    pub(crate) fn check_for_stall(&self) {
+        self.limit_state.stall.check();
     }
 }
 
-/// How this VM came by what it counts.
+/// How this VM came to own the partition.
 fn origin(part: &Partition, now: Instant) -> Origin {
-    // Nobody can take a partition that is counted without a hold, and whoever has it may live unseen.
-    let unseen = Origin::Unresponsive(now);
-    part.ownership.get().map_or(unseen, |hold| hold.origin)
+    // While this VM does not own the partition, an unreachable owner may still grant requests.
+    let unknown_owner = Origin::Unresponsive(now);
+    part.ownership
+        .get()
+        .map_or(unknown_owner, |hold| hold.origin)
 }
 
 fn millis(time: Duration) -> u64 {
--- a/src/gateway/limits/mod.rs
+++ b/src/gateway/limits/mod.rs
@@ -1,19 +1,19 @@
-//! The limits of teams, over all VMs: which VM counts a team, and what a request asks it.
+//! Team limits, enforced across all VMs.
 //!
-//! Teams are counted where programs are: the VM that counts a partition counts the teams that fall into it. So who
-//! counts, who takes over and who has been shut out is decided once, in `tokens`.
+//! The VM that owns a partition also counts the requests of the teams that hash to it. Ownership, takeover and fencing of
+//! partitions are handled in `tokens`.
 
+mod acquire;
 pub(crate) mod count;
 mod stall;
-mod take;
 
 use crate::policy::quota::Demand;
-use stall::Stall;
+use stall::StallDetector;
 use std::cell::RefCell;
 
-/// What this VM knows for counting teams, beside the partitions that it counts.
+/// State for enforcing team limits that belongs to no partition.
 #[derive(Debug, Default)]
-pub(crate) struct Counting {
+pub(crate) struct Limits {
     needs: RefCell<Demand>,
-    stall: Stall,
+    stall: StallDetector,
 }
--- /dev/null
+++ b/src/gateway/server/connection.rs
@@ -0,0 +1,144 @@
+//! Connections to backend servers, and the pool of idle ones.
+
+use crate::gateway::front::socket;
+use crate::gateway::world::directory::{Entry, Instance};
+use bytes::Bytes;
+use http::{Request, Response};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper_util::rt::TokioIo;
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::task::AbortHandle;
+use tokio::time::{Instant, timeout};
+
+/// Shorter than the first TCP SYN retransmission: trying another server is faster than waiting for it.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Keep-alive time where the server announces none.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// Subtracted from the announced keep-alive time, so that no request is sent while the server closes
+/// the connection.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
+const MAX_IDLE_PER_SERVER: usize = 24;
+
+/// A connection to a backend server. Dropping it closes it, which cancels the request in flight.
+#[derive(Debug)]
+pub(crate) struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+    driver: AbortHandle,
+    server: Instance,
+    /// Requests sent on this connection so far.
+    requests: u32,
+    idle_since: Instant,
+    keep_alive: Duration,
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.driver.abort();
+    }
+}
+
+/// Why a request got no response.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum SendError {
+    /// Nothing was sent, so the request has not run.
+    NotSent,
+    /// The request may have run.
+    OutcomeUnknown,
+}
+
+impl Connection {
+    pub(crate) async fn open(entry: &Entry) -> Result<Self, std::io::Error> {
+        let connect = timeout(CONNECT_TIMEOUT, TcpStream::connect(entry.address));
+        let stream = connect.await.map_err(std::io::Error::from)??;
+        socket::tune(&stream)?;
+        let io = TokioIo::new(stream);
+        let (sender, connection) = http1::handshake(io).await.map_err(std::io::Error::other)?;
+        let driver = tokio::task::spawn_local(async move {
+            // Errors are reported to the request in flight.
+            drop(connection.await);
+        });
+        Ok(Self {
+            sender,
+            driver: driver.abort_handle(),
+            server: Instance::clone(&entry.id),
+            requests: 0,
+            idle_since: Instant::now(),
+            keep_alive: DEFAULT_KEEP_ALIVE,
+        })
+    }
+
+    /// Whether the latest response is the first one, so that it can't belong to an earlier request.
+    pub(crate) const fn is_first_response(&self) -> bool {
+        self.requests == 1
+    }
+
+    /// Sends a request and waits for the head of the response.
+    pub(crate) async fn send(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, SendError> {
+        if self.sender.ready().await.is_err() {
+            return Err(SendError::NotSent);
+        }
+        let response = self.sender.try_send_request(request).await;
+        let response = response.map_err(|mut error| match error.take_message() {
+            Some(_) => SendError::NotSent,
+            None => SendError::OutcomeUnknown,
+        });
+        self.requests += 1;
+        response
+    }
+
+    fn is_usable(&self, now: Instant) -> bool {
+        !self.sender.is_closed() && now < self.idle_since + self.keep_alive
+    }
+}
+
+/// Idle connections to all backend servers.
+#[derive(Debug, Default)]
+pub(crate) struct Pool {
+    idle: RefCell<HashMap<Instance, Vec<Connection>>>,
+}
+
+impl Pool {
+    /// Removes the most recently used connection to `server`, if it was idle for less than `max_idle`.
+    pub(crate) fn get(&self, server: &Instance, max_idle: Duration) -> Option<Connection> {
+        let now = Instant::now();
+        let mut all = self.idle.borrow_mut();
+        let connections = all.get_mut(server)?;
+        connections.retain(|connection| connection.is_usable(now));
+        let newest = connections.last()?;
+        (now < newest.idle_since + max_idle).then(|| connections.pop())?
+    }
+
+    /// Adds a connection whose response is complete; `keep_alive` is the time announced by the server.
+    pub(crate) fn put(&self, mut connection: Connection, keep_alive: Option<Duration>) {
+        connection.idle_since = Instant::now();
+        if let Some(keep_alive) = keep_alive {
+            connection.keep_alive = keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
+        }
+        let mut all = self.idle.borrow_mut();
+        let connections = all.entry(Instance::clone(&connection.server)).or_default();
+        if connections.len() < MAX_IDLE_PER_SERVER {
+            connections.push(connection);
+        }
+    }
+
+    /// Closes connections that were idle for too long or whose server is not registered.
+    pub(crate) fn close_expired(&self, is_registered: impl Fn(&Instance) -> bool) {
+        let now = Instant::now();
+        self.idle.borrow_mut().retain(|server, connections| {
+            connections.retain(|connection| connection.is_usable(now));
+            !connections.is_empty() && is_registered(server)
+        });
+    }
+
+    pub(crate) fn idle_count(&self) -> usize {
+        self.idle.borrow().values().map(Vec::len).sum()
+    }
+}
--- a/src/gateway/tokens/owner.rs
+++ b/src/gateway/tokens/owner.rs
@@ -77,12 +77,12 @@
         question: Question,
     ) -> Reply {
         match question {
-            Question::Place(ask) => self.lease_to(asked, ask).await,
+            Question::Place(ask) => self.lease_slot(asked, ask).await,
             Question::Take {
                 part,
                 take,
                 takeover,
-            } => self.take_of_team(part, take, takeover).await,
+            } => self.admit_team_request(part, take, takeover).await,
             Question::Reserve {
                 part,
                 program,
@@ -167,7 +167,7 @@
     /// Handles a message that needs no answer.
     pub(crate) async fn handle_note(&self, from: SocketAddr, note: Note) {
         match note {
-            Note::Left { number, outcome } => self.leases.end(&(from, number), outcome),
+            Note::Left { number, outcome } => self.leases.release(&(from, number), outcome),
             Note::Settled {
                 part,
                 reservation,
--- a/src/gateway/tokens/partition.rs
+++ b/src/gateway/tokens/partition.rs
@@ -1,7 +1,7 @@
 //! State of one partition of programs: its token accounts, and what is known of its records at the
 //! store.
 
-use crate::gateway::limits::count::Counted;
+use crate::gateway::limits::count::Quotas;
 use crate::policy::allowance::{Ledger, Snapshot};
 use crate::policy::share::Origin;
 use std::cell::{Cell, RefCell};
@@ -26,7 +26,7 @@
     pub(crate) ownership: Cell<Option<Ownership>>,
     pub(crate) ledger: RefCell<Ledger>,
     /// Rate-limit counters of the teams that hash to this partition.
-    pub(crate) teams: RefCell<Counted>,
+    pub(crate) teams: RefCell<Quotas>,
     /// When the last acknowledged write started: monotonic time, and Unix time in milliseconds.
     pub(crate) last_confirmed_write: Cell<Option<(Instant, u64)>>,
     /// Newest values by key that are not recorded at the store yet.
