--- a/src/member/changes.rs
+++ b/src/member/changes.rs
@@ -1,4 +1,4 @@
-//! The log lines of the members' states, at a bounded rate.
+//! Rate-limited logging of member state changes.
 
 use super::wire::State;
 use crate::id::Vm;
@@ -6,30 +6,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Changes of members that are logged one by one in a second; of the rest a line a second gives the
-/// number.
-const LINES: usize = 8;
-/// Time between two lines of numbers.
-const COUNTED: Duration = Duration::from_secs(1);
+/// State changes logged individually per [`LOG_WINDOW`]; the rest are only counted.
+const MAX_LINES_PER_WINDOW: usize = 8;
+const LOG_WINDOW: Duration = Duration::from_secs(1);
 
-/// Logs in which state members are held, at a bounded rate.
+/// Logs member state changes at a bounded rate.
 #[derive(Debug, Default)]
-pub(super) struct Changes {
-    since: Option<Instant>,
-    lines: usize,
+pub(super) struct StateLog {
+    window_start: Option<Instant>,
+    total: usize,
     alive: usize,
     suspect: usize,
     gone: usize,
     left: usize,
 }
 
-impl Changes {
-    /// Logs that a member is held in another state.
-    pub(super) fn tell(&mut self, now: Instant, vm: &Vm, state: State) {
+impl StateLog {
+    /// Logs a member's new state, or counts it once the window's line limit is reached.
+    pub(super) fn log(&mut self, now: Instant, vm: &Vm, state: State) {
         self.flush(now);
-        self.since.get_or_insert(now);
-        self.lines += 1;
-        if self.lines > LINES {
+        self.window_start.get_or_insert(now);
+        self.total += 1;
+        if self.total > MAX_LINES_PER_WINDOW {
             self.count(state);
             return;
         }
@@ -51,20 +49,23 @@
         *count += 1;
     }
 
-    /// Logs the numbers of a second that is over.
+    /// Logs the summary of a window that has ended, if lines were suppressed in it.
     pub(super) fn flush(&mut self, now: Instant) {
-        if self.since.is_none_or(|since| now < since + COUNTED) {
+        if self
+            .window_start
+            .is_none_or(|window_start| now < window_start + LOG_WINDOW)
+        {
             return;
         }
         let Self {
-            lines,
+            total,
             alive,
             suspect,
             gone,
             left,
             ..
         } = std::mem::take(self);
-        if lines > LINES {
+        if total > MAX_LINES_PER_WINDOW {
             event!(
                 info,
                 "members_changed",
--- a/src/member/duty.rs
+++ b/src/member/duty.rs
@@ -1,6 +1,6 @@
-//! The membership thread: drives the protocol over UDP.
+//! The membership thread: runs the gossip protocol over UDP.
 
-use super::changes::Changes;
+use super::changes::StateLog;
 use super::gossip::{Action, Gossip};
 use super::introduction::Introduction;
 use super::list::List;
@@ -17,27 +17,27 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 use tokio_util::sync::CancellationToken;
 
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(50);
-/// What the membership thread works with.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Inputs and outputs of the membership thread.
 #[derive(Debug)]
 pub(crate) struct Setup {
     pub(crate) socket: std::net::UdpSocket,
     pub(crate) key: String,
     pub(crate) seeds: Vec<SocketAddr>,
-    /// What the platform tells of VMs and of servers that are leaving.
+    /// VM lists read from the platform or the store.
     pub(crate) listed: flume::Receiver<List>,
-    /// What this VM says of itself; other duties keep it up to date.
+    /// This VM's own state, updated by other threads.
     pub(crate) local: watch::Receiver<Beat>,
     pub(crate) published: watch::Sender<Arc<View>>,
-    /// What this VM leaves for others that start.
+    /// This VM's introduction record, for VMs that start later.
     pub(crate) introduction: watch::Sender<Option<Introduction>>,
-    /// Backend servers that other duties know to be leaving.
+    /// Backend servers that other threads report as draining.
     pub(crate) leaving: flume::Receiver<Server>,
     pub(crate) stop: CancellationToken,
 }
 
-/// Takes part in the membership until it is stopped.
+/// Runs the membership protocol until stopped, then announces that this VM leaves.
 pub(crate) async fn run(setup: Setup) {
     let Setup {
         socket,
@@ -55,11 +55,11 @@
     let beat = local.borrow_and_update().clone();
     let now = Instant::now();
     let mut gossip = Gossip::new(now, beat, first_incarnation(), seeds, rand::random());
-    // One byte more than a datagram may have, so that a longer one is seen to be too long.
+    // One byte larger than the limit, so that the size of an oversized datagram shows it.
     let mut buffer = vec![0; DATAGRAM + 1];
-    let mut changes = Changes::default();
-    let mut built = now;
-    let mut tick = interval(TICK);
+    let mut state_log = StateLog::default();
+    let mut last_view = now;
+    let mut tick = interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -68,13 +68,13 @@
                     gossip.local(&local.borrow_and_update());
                 }
                 let actions = gossip.tick(Instant::now());
-                perform(&socket, &sealer, &mut changes, actions).await;
-                changes.flush(Instant::now());
-                // Not at each datagram: after a partition hundreds of them change the view.
+                perform(&socket, &sealer, &mut state_log, actions).await;
+                state_log.flush(Instant::now());
+                // Not on every datagram: after a network partition hundreds of them change the view.
                 let members = published.borrow().members.len();
-                if gossip.changed() && built.elapsed() >= View::pause(members) {
-                    built = Instant::now();
-                    published.send_replace(Arc::new(gossip.view(built)));
+                if gossip.changed() && last_view.elapsed() >= View::pause(members) {
+                    last_view = Instant::now();
+                    published.send_replace(Arc::new(gossip.view(last_view)));
                     introduction.send_replace(Some(gossip.introduction()));
                 }
             }
@@ -82,7 +82,7 @@
                 let Ok((size, from)) = received else { continue };
                 if let Some(message) = sealer.open(&buffer[..size]) {
                     let actions = gossip.on_message(Instant::now(), from, message);
-                    perform(&socket, &sealer, &mut changes, actions).await;
+                    perform(&socket, &sealer, &mut state_log, actions).await;
                 } else {
                     event!(warn, "datagram_refused", from = from, bytes = size);
                 }
@@ -91,7 +91,7 @@
                 let Ok(list) = list else { continue };
                 gossip.contact(list.vms);
                 let actions = gossip.introduce(Instant::now(), &list.introductions);
-                perform(&socket, &sealer, &mut changes, actions).await;
+                perform(&socket, &sealer, &mut state_log, actions).await;
                 for server in &list.leaving {
                     gossip.leaving(Instant::now(), server);
                 }
@@ -102,26 +102,31 @@
             }
             () = stop.cancelled() => {
                 let actions = gossip.leave(Instant::now());
-                perform(&socket, &sealer, &mut changes, actions).await;
+                perform(&socket, &sealer, &mut state_log, actions).await;
                 return;
             }
         }
     }
 }
 
-async fn perform(socket: &UdpSocket, sealer: &Sealer, changes: &mut Changes, actions: Vec<Action>) {
+async fn perform(
+    socket: &UdpSocket,
+    sealer: &Sealer,
+    state_log: &mut StateLog,
+    actions: Vec<Action>,
+) {
     for action in actions {
         match action {
             Action::Send { to, message } => {
                 let _ = socket.send_to(&sealer.seal(&message), to).await;
             }
-            Action::Tell { vm, state } => changes.tell(Instant::now(), &vm, state),
+            Action::Tell { vm, state } => state_log.log(Instant::now(), &vm, state),
         }
     }
 }
 
-/// An incarnation that exceeds those of earlier runs, as long as the wall clock goes forward;
-/// where it does not, the VM learns of the earlier run from its peers and raises it.
+/// Incarnation from the wall clock, so that it exceeds those of earlier runs. If the clock went
+/// back, peers report the higher incarnation and this VM raises its own above it.
 fn first_incarnation() -> Incarnation {
     Incarnation(clock::wall().as_secs().max(1))
 }
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -1,17 +1,18 @@
-//! The membership protocol: datagrams and time in, datagrams and a view out; no I/O.
+//! SWIM-style gossip membership, without I/O: takes datagrams and the time, returns datagrams to
+//! send and a view of the members.
 //!
-//! Each VM probes the others in a shuffled order, directly and through some of them. One that
-//! answers nobody is suspected, and the suspicion spreads; it can refute it by a new incarnation.
-//! What changes is passed on a bounded number of times, on probes and in datagrams of its own,
-//! and a periodic exchange of digests repairs what was lost, also after a partition.
+//! Each VM probes the others in a shuffled order, directly and through relays. A member that does
+//! not answer is suspected; the suspicion is gossiped, and the member can refute it with a higher
+//! incarnation. Updates are piggybacked on probes and sent in datagrams of their own, a bounded
+//! number of times each. Periodic anti-entropy exchanges repair lost updates and network partitions.
 
-use super::hints::{Hint, Hints};
+use super::hints::{OwnerClaim, SharedState};
 use super::probe::Probes;
-use super::queue::{Item, Queue};
-use super::roster::{Change, Record, Roster, Standing};
-use super::tick::BUDGET;
+use super::queue::{Queue, Subject};
+use super::roster::{Change, Record, Roster, Status};
+use super::tick::BYTE_BUDGET;
 use super::view::{Beat, Member, View};
-use super::wire::{DATAGRAM, ENVELOPE, Header, Kind, Message, News, Profile, State};
+use super::wire::{DATAGRAM, ENVELOPE_BYTES, Header, Kind, Message, News, Profile, State};
 use crate::id::{Epoch, Incarnation, Offset, Server, Shard, Vm};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -20,37 +21,37 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// What the driver of a [`Gossip`] has to do.
+/// What the caller of a [`Gossip`] has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message.
+    /// Seal the message and send it as a datagram.
     Send {
-        /// Where to.
+        /// Address of the receiving member.
         to: SocketAddr,
-        /// The message.
+        /// Message to seal; fits [`DATAGRAM`] with its seal.
         message: Message,
     },
-    /// Log that a member is held in another state.
+    /// Log a member's new state.
     Tell {
-        /// The member.
+        /// Member whose state changed.
         vm: Vm,
-        /// The state.
+        /// State after the change.
         state: State,
     },
 }
 
-/// Events since the start.
+/// Event counters since the start of this process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Suspicions that this VM raised.
+    /// Suspicions raised by this VM's own probes.
     pub suspicions: u64,
-    /// Suspicions of itself that this VM refuted.
+    /// Times that this VM raised its incarnation above a reported one.
     pub refutations: u64,
-    /// Members that this VM dropped from its view.
+    /// Members removed after an unrefuted suspicion.
     pub removals: u64,
 }
 
-/// The membership as one VM sees it.
+/// Membership state of one VM.
 ///
 /// ```
 /// use std::time::Duration;
@@ -89,40 +90,41 @@
     pub(super) me: Vm,
     pub(super) rng: StdRng,
     pub(super) roster: Roster,
-    pub(super) hints: Hints,
+    pub(super) shared: SharedState,
     pub(super) queue: Queue,
     pub(super) probes: Probes,
     pub(super) counts: Counts,
-    /// Addresses from the settings and the VM list.
-    pub(super) contacts: BTreeSet<SocketAddr>,
-    pub(super) held: BTreeMap<Shard, Epoch>,
-    /// The applied offset that was last announced.
-    pub(super) announced: Offset,
-    /// Live members, counted at the last exchange.
-    pub(super) group: usize,
-    pub(super) due: Due,
-    pub(super) ticked: Instant,
-    pub(super) tokens: f64,
-    /// Whether the last exchange told of many differences.
-    pub(super) behind: bool,
-    pub(super) dirty: bool,
-    pub(super) servers: BTreeSet<Server>,
+    /// Addresses from the settings and the VM lists.
+    pub(super) contact_addresses: BTreeSet<SocketAddr>,
+    pub(super) owned_shards: BTreeMap<Shard, Epoch>,
+    /// Applied configuration offset that was last gossiped.
+    pub(super) announced_offset: Offset,
+    /// Live members, counted before each anti-entropy exchange.
+    pub(super) member_count: usize,
+    pub(super) timers: Timers,
+    pub(super) last_tick: Instant,
+    pub(super) byte_budget: f64,
+    /// Whether an exchange since the last timer found many differences.
+    pub(super) many_differences: bool,
+    pub(super) view_changed: bool,
+    pub(super) draining_servers: BTreeSet<Server>,
     pub(super) left: bool,
 }
 
 #[derive(Debug)]
-pub(super) struct Due {
-    pub(super) news: Instant,
+pub(super) struct Timers {
+    pub(super) gossip: Instant,
     pub(super) sync: Instant,
     pub(super) contact: Instant,
-    pub(super) applied: Instant,
+    pub(super) offset: Instant,
 }
 
 impl Gossip {
-    /// The membership of a VM that knows only some addresses.
+    /// Starts with this VM as the only member; `seeds` are addresses to contact.
     ///
-    /// `incarnation` should exceed that of an earlier run of the same VM, such as the seconds of
-    /// the wall clock; if it does not, the VM raises it as soon as it hears of the earlier run.
+    /// `incarnation` should exceed that of earlier runs of the same VM, such as wall clock seconds.
+    /// If it does not, the VM raises it once a member reports the higher one. `seed` is for the
+    /// random number generator.
     #[must_use]
     pub fn new(
         now: Instant,
@@ -132,30 +134,30 @@
         seed: u64,
     ) -> Self {
         let me = local.vm.clone();
-        let due = Due {
-            news: now,
+        let timers = Timers {
+            gossip: now,
             sync: now,
             contact: now,
-            applied: now,
+            offset: now,
         };
         let mut gossip = Self {
             me: me.clone(),
             rng: StdRng::seed_from_u64(seed),
             roster: Roster::default(),
-            hints: Hints::default(),
+            shared: SharedState::default(),
             queue: Queue::new(seed),
             probes: Probes::new(now),
             counts: Counts::default(),
-            contacts: seeds.into_iter().collect(),
-            held: BTreeMap::new(),
-            announced: Offset(0),
-            group: 1,
-            due,
-            ticked: now,
-            tokens: BUDGET.1,
-            behind: true,
-            dirty: true,
-            servers: BTreeSet::new(),
+            contact_addresses: seeds.into_iter().collect(),
+            owned_shards: BTreeMap::new(),
+            announced_offset: Offset(0),
+            member_count: 1,
+            timers,
+            last_tick: now,
+            byte_budget: BYTE_BUDGET.1,
+            many_differences: true,
+            view_changed: true,
+            draining_servers: BTreeSet::new(),
             left: false,
         };
         let profile = Profile {
@@ -171,225 +173,226 @@
             profile,
             incarnation,
             applied: Offset(0),
-            standing: Standing {
+            status: Status {
                 state: State::Alive,
                 since: now,
             },
-            doubted: None,
+            refutation_requested_at: None,
         };
         gossip.roster.records.insert(me.clone(), record);
-        gossip.queue.push(Item::Profile(me));
+        gossip.queue.push(Subject::Profile(me));
         gossip.local(&local);
         gossip
     }
 
-    /// Takes in what this VM says of itself, and spreads what changed.
+    /// Updates this VM's own state and queues the changes for gossip.
     pub fn local(&mut self, beat: &Beat) {
-        let record = self.my_record();
+        let record = self.own_record();
         let profile = &mut record.profile;
-        let told = (&beat.zone, beat.boot, beat.address, beat.ready);
-        if told != (&profile.zone, profile.boot, profile.address, profile.ready) {
+        let announced = (&beat.zone, beat.boot, beat.address, beat.ready);
+        if announced != (&profile.zone, profile.boot, profile.address, profile.ready) {
             profile.zone = beat.zone.clone();
             profile.boot = beat.boot;
             profile.address = beat.address;
             profile.ready = beat.ready;
             record.incarnation = Incarnation(record.incarnation.0 + 1);
             record.profile.version = record.incarnation;
-            self.queue.push(Item::Profile(self.me.clone()));
-            self.dirty = true;
+            self.queue.push(Subject::Profile(self.me.clone()));
+            self.view_changed = true;
         }
-        self.applied(beat.applied);
-        self.claims(beat);
+        self.set_applied(beat.applied);
+        self.update_claims(beat);
     }
 
-    fn applied(&mut self, applied: Offset) {
-        let record = self.my_record();
+    fn set_applied(&mut self, applied: Offset) {
+        let record = self.own_record();
         if record.applied == applied {
             return;
         }
         record.applied = applied;
-        self.dirty = true;
-        self.newest(applied);
+        self.view_changed = true;
+        self.raise_newest_offset(applied);
     }
 
-    fn claims(&mut self, beat: &Beat) {
-        let held: BTreeMap<Shard, Epoch> = beat.held.iter().copied().collect();
-        if held == self.held {
+    fn update_claims(&mut self, beat: &Beat) {
+        let owned: BTreeMap<Shard, Epoch> = beat.held.iter().copied().collect();
+        if owned == self.owned_shards {
             return;
         }
-        let before = std::mem::replace(&mut self.held, held);
-        self.dirty = true;
-        for (shard, epoch) in before {
-            if self.held.get(&shard) != Some(&epoch) {
-                self.spread_claim(beat, shard, epoch, true);
+        let previous = std::mem::replace(&mut self.owned_shards, owned);
+        self.view_changed = true;
+        for (shard, epoch) in previous {
+            if self.owned_shards.get(&shard) != Some(&epoch) {
+                self.gossip_claim(beat, shard, epoch, true);
             }
         }
-        for (shard, epoch) in self.held.clone() {
-            self.spread_claim(beat, shard, epoch, false);
+        for (shard, epoch) in self.owned_shards.clone() {
+            self.gossip_claim(beat, shard, epoch, false);
         }
     }
 
-    fn spread_claim(&mut self, beat: &Beat, shard: Shard, epoch: Epoch, released: bool) {
-        let hint = Hint {
+    fn gossip_claim(&mut self, beat: &Beat, shard: Shard, epoch: Epoch, released: bool) {
+        let claim = OwnerClaim {
             epoch,
             vm: beat.vm.clone(),
             boot: beat.boot,
             released,
         };
         if matches!(
-            self.hints.claim(shard, hint),
+            self.shared.apply_claim(shard, claim),
             Change::Joined | Change::Status
         ) {
-            self.queue.push(Item::Claim(beat.vm.clone(), shard));
+            self.queue.push(Subject::Claim(beat.vm.clone(), shard));
         }
     }
 
-    /// Adds addresses at which members may be found. They are contacted at a low rate, and a
-    /// stale one costs no more than that: only a member's own word brings it into the view.
+    /// Adds addresses where members may be found. They are contacted at a low rate, and an address
+    /// enters the view only once a member introduces itself there.
     pub fn contact(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
-        self.contacts.extend(addresses);
+        self.contact_addresses.extend(addresses);
     }
 
-    /// Announces that a backend server is leaving.
+    /// Announces to the members that a backend server is draining.
     pub fn leaving(&mut self, now: Instant, server: &Server) {
-        if self.hints.announce(now, server) {
-            self.queue.push(Item::Leaving(server.clone()));
-            self.dirty = true;
+        if self.shared.announce_draining(now, server) {
+            self.queue.push(Subject::Leaving(server.clone()));
+            self.view_changed = true;
         }
     }
 
-    /// Tells some members that this VM leaves; it takes no part afterwards.
+    /// Tells some members that this VM leaves. Later messages and ticks are ignored.
     pub fn leave(&mut self, now: Instant) -> Vec<Action> {
         self.left = true;
-        let record = self.my_record();
+        let record = self.own_record();
         record.incarnation = Incarnation(record.incarnation.0 + 1);
-        record.standing = Standing {
+        record.status = Status {
             state: State::Left,
             since: now,
         };
-        let news = vec![record.status()];
-        let to = self.some(usize::try_from(self.limit()).unwrap_or(usize::MAX));
+        let news = vec![record.status_update()];
+        let to =
+            self.random_members(usize::try_from(self.max_transmissions()).unwrap_or(usize::MAX));
         to.into_iter()
-            .map(|(_, to)| self.send(to, Kind::Gossip, news.clone()))
+            .map(|(_, to)| self.send_action(to, Kind::Gossip, news.clone()))
             .collect()
     }
 
-    /// Whether the view has changed since it was last taken.
+    /// Whether the view has changed since the last call of [`Self::view`].
     #[must_use]
     pub fn changed(&self) -> bool {
-        self.dirty
+        self.view_changed
     }
 
-    /// The view at `now`.
+    /// Builds the current view.
     pub fn view(&mut self, now: Instant) -> View {
-        self.dirty = false;
-        self.servers = self.hints.servers(now);
+        self.view_changed = false;
+        self.draining_servers = self.shared.draining_servers(now);
         let mut members: BTreeMap<Vm, Member> = self
             .roster
             .live()
             .map(|record| (record.profile.vm.clone(), member(record)))
             .collect();
-        for (shard, hint) in &self.hints.shards {
-            if let Some(member) = members.get_mut(&hint.vm)
-                && member.boot == hint.boot
-                && !hint.released
+        for (shard, claim) in &self.shared.shards {
+            if let Some(member) = members.get_mut(&claim.vm)
+                && member.boot == claim.boot
+                && !claim.released
             {
-                member.held.push((*shard, hint.epoch));
+                member.held.push((*shard, claim.epoch));
             }
         }
         if let Some(me) = members.get_mut(&self.me) {
             me.held = self
-                .held
+                .owned_shards
                 .iter()
                 .map(|(shard, epoch)| (*shard, *epoch))
                 .collect();
         }
         View {
             members,
-            leaving: self.servers.clone(),
-            newest: self.hints.newest,
+            leaving: self.draining_servers.clone(),
+            newest: self.shared.newest_offset,
         }
     }
 
-    /// Events since the start.
+    /// Event counters since the start.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Records, hints and queued news that are held, for reports.
+    /// Numbers of member records, of shards with a known claim and of queued updates.
     #[must_use]
     pub fn sizes(&self) -> (usize, usize, usize) {
         (
             self.roster.records.len(),
-            self.hints.shards.len(),
+            self.shared.shards.len(),
             self.queue.len(),
         )
     }
 
-    /// How often a piece of news is passed on.
-    pub(super) fn limit(&self) -> u32 {
-        (self.group + 1).ilog2() + 5
+    /// How often each update is sent; grows with the logarithm of the group size.
+    pub(super) fn max_transmissions(&self) -> u32 {
+        (self.member_count + 1).ilog2() + 5
     }
 
-    pub(super) fn newest(&mut self, offset: Offset) {
-        if offset > self.hints.newest {
-            self.hints.newest = offset;
-            self.dirty = true;
+    pub(super) fn raise_newest_offset(&mut self, offset: Offset) {
+        if offset > self.shared.newest_offset {
+            self.shared.newest_offset = offset;
+            self.view_changed = true;
         }
     }
 
-    /// News to go with a datagram, as many as its size and the budget allow.
-    pub(super) fn pack(&mut self, now: Instant) -> Vec<News> {
-        let limit = self.limit();
-        let mut room = DATAGRAM - ENVELOPE;
+    /// Queued updates to piggyback on a datagram, as many as its size and the byte budget allow.
+    pub(super) fn pack_updates(&mut self, now: Instant) -> Vec<News> {
+        let limit = self.max_transmissions();
+        let mut free_bytes = DATAGRAM - ENVELOPE_BYTES;
         let mut packed = Vec::new();
-        for item in self.queue.fresh() {
-            let Some(news) = self.news(now, &item) else {
-                self.queue.remove(&item);
+        for subject in self.queue.by_priority() {
+            let Some(news) = self.update_about(now, &subject) else {
+                self.queue.remove(&subject);
                 continue;
             };
-            let size = news.size_in(&packed);
-            if size > room || !self.spend(size) {
+            let size = news.size_after(&packed);
+            if size > free_bytes || !self.try_spend_bytes(size) {
                 break;
             }
-            room -= size;
-            News::join(&mut packed, news);
-            self.queue.count(&item, limit);
+            free_bytes -= size;
+            News::push_merged(&mut packed, news);
+            self.queue.count_transmission(&subject, limit);
         }
         packed
     }
 
-    fn news(&self, now: Instant, item: &Item) -> Option<News> {
-        match item {
-            Item::Status(vm) => Some(self.roster.records.get(vm)?.status()),
-            Item::Profile(vm) => Some(self.roster.records.get(vm)?.full()),
-            Item::Applied(vm) => {
+    fn update_about(&self, now: Instant, subject: &Subject) -> Option<News> {
+        match subject {
+            Subject::Status(vm) => Some(self.roster.records.get(vm)?.status_update()),
+            Subject::Profile(vm) => Some(self.roster.records.get(vm)?.profile_update()),
+            Subject::Applied(vm) => {
                 let applied = self.roster.records.get(vm)?.applied;
                 let vm = vm.clone();
                 Some(News::Applied { vm, applied })
             }
-            Item::Claim(vm, shard) => self.hints.claim_news(vm, *shard),
-            Item::Leaving(server) => self.hints.leaving_news(now, server),
+            Subject::Claim(vm, shard) => self.shared.claim_update(vm, *shard),
+            Subject::Leaving(server) => self.shared.draining_update(now, server),
         }
     }
 
-    /// Takes bytes from the budget for news and exchanges, if they are there.
-    pub(super) fn spend(&mut self, bytes: usize) -> bool {
-        let enough = self.tokens >= bytes as f64;
+    /// Takes bytes from the token bucket for updates and exchanges; false if too few are left.
+    pub(super) fn try_spend_bytes(&mut self, bytes: usize) -> bool {
+        let enough = self.byte_budget >= bytes as f64;
         if enough {
-            self.tokens -= bytes as f64;
+            self.byte_budget -= bytes as f64;
         }
         enough
     }
 
-    /// Some members other than this one, none of them under suspicion: news sent to a VM that does
-    /// not answer would be spent in vain.
-    pub(super) fn some(&mut self, count: usize) -> Vec<(Vm, SocketAddr)> {
+    /// Random members other than this one. Suspects are left out: updates sent to an unresponsive
+    /// VM would waste the byte budget.
+    pub(super) fn random_members(&mut self, count: usize) -> Vec<(Vm, SocketAddr)> {
         let others = self
             .roster
             .live()
-            .filter(|record| record.standing.state == State::Alive && record.profile.vm != self.me);
+            .filter(|record| record.status.state == State::Alive && record.profile.vm != self.me);
         let chosen = others.sample(&mut self.rng, count);
         let chosen = chosen.into_iter().map(|record| &record.profile);
         chosen
@@ -397,27 +400,27 @@
             .collect()
     }
 
-    pub(super) fn send(&self, to: SocketAddr, kind: Kind, news: Vec<News>) -> Action {
+    pub(super) fn send_action(&self, to: SocketAddr, kind: Kind, news: Vec<News>) -> Action {
         let me = &self.roster.records[&self.me];
         let from = Header {
             vm: self.me.clone(),
             incarnation: me.incarnation,
             applied: me.applied,
-            newest: self.hints.newest,
+            newest: self.shared.newest_offset,
         };
         let message = Message { from, kind, news };
         Action::Send { to, message }
     }
 
-    pub(super) fn address(&self, vm: &Vm) -> Option<SocketAddr> {
+    pub(super) fn address_of(&self, vm: &Vm) -> Option<SocketAddr> {
         Some(self.roster.records.get(vm)?.profile.address)
     }
 
-    pub(super) fn my_record(&mut self) -> &mut Record {
+    pub(super) fn own_record(&mut self) -> &mut Record {
         self.roster
             .records
             .get_mut(&self.me)
-            .expect("this VM is always on its own roster")
+            .expect("the roster always has a record of this VM")
     }
 }
 
@@ -431,6 +434,6 @@
         ready: record.profile.ready,
         applied: record.applied,
         held: Vec::new(),
-        suspect: record.standing.state == State::Suspect,
+        suspect: record.status.state == State::Suspect,
     }
 }
--- a/src/member/hints.rs
+++ b/src/member/hints.rs
@@ -1,4 +1,5 @@
-//! What rides on the membership: owners of shards, leaving backend servers, the newest offset.
+//! State piggybacked on the membership gossip: shard claims, draining backend servers and the
+//! newest configuration offset.
 
 use super::roster::Change;
 use super::wire::{Claim, News};
@@ -7,25 +8,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long an announcement that a server leaves holds, unless it is renewed.
-const LEAVING: Duration = Duration::from_mins(1);
-/// Shards that the settings allow.
-const SHARDS: u64 = 65_536;
-/// Leaving servers that are kept at most.
-const SERVERS: usize = 4096;
+/// How long a server counts as draining unless the notice is renewed.
+const DRAINING_TTL: Duration = Duration::from_mins(1);
+/// Upper bound of the shard count in the settings; claims of higher shards are ignored.
+const MAX_SHARDS: u64 = 65_536;
+const MAX_DRAINING_SERVERS: usize = 4096;
 
-/// Who owns a shard.
+/// The newest known claim of a shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Hint {
+pub(super) struct OwnerClaim {
     pub(super) epoch: Epoch,
     pub(super) vm: Vm,
     pub(super) boot: Boot,
     pub(super) released: bool,
 }
 
-impl Hint {
-    /// The claim as news.
-    pub(super) fn news(&self, shard: Shard) -> News {
+impl OwnerClaim {
+    pub(super) fn to_update(&self, shard: Shard) -> News {
         let claim = Claim {
             shard,
             epoch: self.epoch,
@@ -40,113 +39,114 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Mark {
+struct DrainingNotice {
     serial: u64,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// The hints that a VM knows.
 #[derive(Debug, Default)]
-pub(super) struct Hints {
-    pub(super) shards: BTreeMap<Shard, Hint>,
-    pub(super) newest: Offset,
-    leaving: BTreeMap<Server, Mark>,
+pub(super) struct SharedState {
+    pub(super) shards: BTreeMap<Shard, OwnerClaim>,
+    pub(super) newest_offset: Offset,
+    draining: BTreeMap<Server, DrainingNotice>,
 }
 
-impl Hints {
-    /// Takes in a claim; the highest epoch counts, and a release goes before its claim.
-    pub(super) fn claim(&mut self, shard: Shard, fresh: Hint) -> Change {
-        if shard.0 >= SHARDS {
+impl SharedState {
+    /// Merges a claim: the highest epoch wins, and at the same epoch a release wins.
+    pub(super) fn apply_claim(&mut self, shard: Shard, received: OwnerClaim) -> Change {
+        if shard.0 >= MAX_SHARDS {
             return Change::Stale;
         }
         let known = self.shards.get(&shard);
-        let rank = |hint: &Hint| (hint.epoch, hint.released);
-        let change = match known.map(|known| rank(&fresh).cmp(&rank(known))) {
+        let precedence = |claim: &OwnerClaim| (claim.epoch, claim.released);
+        let change = match known.map(|known| precedence(&received).cmp(&precedence(known))) {
             None => Change::Joined,
             Some(std::cmp::Ordering::Greater) => Change::Status,
             Some(std::cmp::Ordering::Equal) => return Change::Known,
             Some(std::cmp::Ordering::Less) => return Change::Stale,
         };
-        self.shards.insert(shard, fresh);
+        self.shards.insert(shard, received);
         change
     }
 
-    /// The claim of a shard, as news, if `vm` still has the newest.
-    pub(super) fn claim_news(&self, vm: &Vm, shard: Shard) -> Option<News> {
-        let hint = self.shards.get(&shard).filter(|hint| hint.vm == *vm)?;
-        Some(hint.news(shard))
+    /// The claim of a shard, if `vm` still has the newest one.
+    pub(super) fn claim_update(&self, vm: &Vm, shard: Shard) -> Option<News> {
+        let claim = self.shards.get(&shard).filter(|claim| claim.vm == *vm)?;
+        Some(claim.to_update(shard))
     }
 
-    /// Announces that a server leaves, or renews the announcement; false when it still holds.
-    pub(super) fn announce(&mut self, now: Instant, server: &Server) -> bool {
-        let known = self.leaving.get(server);
-        if known.is_some_and(|mark| mark.until > now + LEAVING / 2) {
+    /// Notes that a server is draining, or renews the notice; false if it does not expire soon.
+    pub(super) fn announce_draining(&mut self, now: Instant, server: &Server) -> bool {
+        let known = self.draining.get(server);
+        if known.is_some_and(|notice| notice.expires_at > now + DRAINING_TTL / 2) {
             return false;
         }
-        let serial = known.map_or(1, |mark| mark.serial + 1);
-        let until = now + LEAVING;
-        self.leaving.insert(server.clone(), Mark { serial, until });
+        let serial = known.map_or(1, |notice| notice.serial + 1);
+        let expires_at = now + DRAINING_TTL;
+        self.draining
+            .insert(server.clone(), DrainingNotice { serial, expires_at });
         true
     }
 
-    /// Takes in an announcement.
+    /// Merges a received notice.
     ///
-    /// Of two copies with one serial the sooner end counts: time spent on the way would otherwise
-    /// prolong the announcement at each hop, and a server that came back would never be used.
-    pub(super) fn leaving(
+    /// Of two copies with the same serial the earlier expiry wins: otherwise transit time would
+    /// extend the notice at each hop, and a server that returned would never be used again.
+    pub(super) fn apply_draining(
         &mut self,
         now: Instant,
         server: &Server,
         serial: u64,
-        left: u64,
+        seconds: u64,
     ) -> Change {
-        let until = now + Duration::from_secs(left).min(LEAVING);
-        let Some(mark) = self.leaving.get_mut(server) else {
-            if left == 0 || self.leaving.len() >= SERVERS {
+        let expires_at = now + Duration::from_secs(seconds).min(DRAINING_TTL);
+        let Some(notice) = self.draining.get_mut(server) else {
+            if seconds == 0 || self.draining.len() >= MAX_DRAINING_SERVERS {
                 return Change::Stale;
             }
-            self.leaving.insert(server.clone(), Mark { serial, until });
+            self.draining
+                .insert(server.clone(), DrainingNotice { serial, expires_at });
             return Change::Joined;
         };
-        if serial > mark.serial {
-            *mark = Mark { serial, until };
+        if serial > notice.serial {
+            *notice = DrainingNotice { serial, expires_at };
             return Change::Status;
         }
-        if serial < mark.serial {
+        if serial < notice.serial {
             return Change::Stale;
         }
-        mark.until = mark.until.min(until);
+        notice.expires_at = notice.expires_at.min(expires_at);
         Change::Known
     }
 
-    /// An announcement as news, if it holds.
-    pub(super) fn leaving_news(&self, now: Instant, server: &Server) -> Option<News> {
-        let mark = self.leaving.get(server)?;
-        let seconds = mark.until.checked_duration_since(now)?.as_secs();
+    /// The notice of a server, if it has not expired.
+    pub(super) fn draining_update(&self, now: Instant, server: &Server) -> Option<News> {
+        let notice = self.draining.get(server)?;
+        let seconds = notice.expires_at.checked_duration_since(now)?.as_secs();
         (seconds > 0).then(|| News::Leaving {
             server: server.clone(),
-            serial: mark.serial,
+            serial: notice.serial,
             seconds,
         })
     }
 
-    /// The announcements that hold, with their serials.
-    pub(super) fn announced(&self, now: Instant) -> impl Iterator<Item = (&Server, u64)> {
-        let held = self
-            .leaving
+    /// Draining servers with the serials of their notices.
+    pub(super) fn draining_serials(&self, now: Instant) -> impl Iterator<Item = (&Server, u64)> {
+        let active = self
+            .draining
             .iter()
-            .filter(move |(_, mark)| mark.until > now);
-        held.map(|(server, mark)| (server, mark.serial))
+            .filter(move |(_, notice)| notice.expires_at > now);
+        active.map(|(server, notice)| (server, notice.serial))
     }
 
-    /// The servers that are leaving.
-    pub(super) fn servers(&self, now: Instant) -> BTreeSet<Server> {
-        let servers = self.announced(now).map(|(server, _)| server.clone());
+    pub(super) fn draining_servers(&self, now: Instant) -> BTreeSet<Server> {
+        let servers = self.draining_serials(now).map(|(server, _)| server.clone());
         servers.collect()
     }
 
-    /// Forgets announcements whose end is so long past that no copy of them is left.
-    pub(super) fn forget(&mut self, now: Instant) {
-        self.leaving.retain(|_, mark| mark.until + LEAVING > now);
+    /// Removes notices that expired so long ago that no copy is in circulation.
+    pub(super) fn remove_expired(&mut self, now: Instant) {
+        self.draining
+            .retain(|_, notice| notice.expires_at + DRAINING_TTL > now);
     }
 }
--- a/src/member/introduction.rs
+++ b/src/member/introduction.rs
@@ -1,29 +1,27 @@
-//! How a VM that starts learns of all others at once.
+//! Introduction records, from which a starting VM learns of all members at once.
 //!
-//! Load it answers: hundreds of VMs that start in the same second, or lose power together. When news go from
-//! one to the next, each within its budget of bytes, large groups take long to know each other, and until then
-//! they disagree on who counts and who queues. A VM that gets the introductions of all others from one
-//! place knows them at once; probes sort out those that have gone since.
+//! When hundreds of VMs start together, gossip alone takes long to make them known to each other,
+//! and until then they disagree on shard owners. Probes remove the members that have gone since.
 
 use super::gossip::{Action, Gossip};
-use super::roster::Told;
+use super::roster::Report;
 use super::wire::{Profile, State};
 use crate::id::Incarnation;
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// What a VM leaves where others can read it: itself, as it would tell them.
+/// Profile that a VM publishes in the store for VMs that start later.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Introduction {
-    /// What it says of itself.
+    /// Profile of the VM when the record was written.
     pub profile: Profile,
-    /// Its incarnation; news of a later one replace what stands here.
+    /// Incarnation when the record was written; gossip with a higher one replaces the record.
     pub incarnation: Incarnation,
 }
 
 impl Gossip {
-    /// What this VM leaves for others.
+    /// The introduction record of this VM, to be published.
     #[must_use]
     pub fn introduction(&self) -> Introduction {
         let me = &self.roster.records[&self.me];
@@ -33,8 +31,8 @@
         }
     }
 
-    /// Takes in what other VMs have left. It is passed on to nobody, since everybody reads it, and says
-    /// nothing of members of which the same is known already.
+    /// Merges the introduction records of other VMs, skipping profiles that are not newer than the
+    /// known ones. They are not gossiped, since every VM reads them.
     pub fn introduce(&mut self, now: Instant, introductions: &[Introduction]) -> Vec<Action> {
         let mut actions = Vec::new();
         for Introduction {
@@ -43,17 +41,17 @@
         } in introductions
         {
             let known = self.roster.records.get(&profile.vm);
-            let same = known.is_some_and(|known| known.profile.version >= profile.version);
-            if self.left || same {
+            let up_to_date = known.is_some_and(|known| known.profile.version >= profile.version);
+            if self.left || up_to_date {
                 continue;
             }
-            let told = Told {
+            let report = Report {
                 vm: &profile.vm,
                 incarnation: *incarnation,
                 state: State::Alive,
                 profile: Some(profile),
             };
-            self.learn_member(now, told, false, &mut actions);
+            self.apply_report(now, report, false, &mut actions);
         }
         actions
     }
--- a/src/member/learn.rs
+++ b/src/member/learn.rs
@@ -1,16 +1,16 @@
-//! What a message changes, and how it is answered.
+//! Handling of received messages: merging their updates and replying.
 
 use super::gossip::{Action, Gossip};
-use super::hints::Hint;
-use super::queue::Item;
-use super::roster::{Change, Standing, Told};
+use super::hints::OwnerClaim;
+use super::queue::Subject;
+use super::roster::{Change, Report, Status};
 use super::wire::{Header, Kind, Message, News, State};
 use crate::id::{Incarnation, Offset, Vm};
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
 impl Gossip {
-    /// Takes in a message that came from `from`.
+    /// Handles a message received from the address `from`.
     pub fn on_message(&mut self, now: Instant, from: SocketAddr, message: Message) -> Vec<Action> {
         let Message {
             from: header,
@@ -23,22 +23,22 @@
         let mut actions = Vec::new();
         for news in &news {
             if matches!(news, News::Profile { profile, .. } if profile.vm == header.vm) {
-                self.learn(now, news, true, &mut actions);
+                self.apply_update(now, news, true, &mut actions);
             }
         }
-        // A member that is held to be gone may hear nobody and doubt everybody; it has to refute
-        // that before its word counts.
-        if self.hear(now, from, &header, &mut actions) {
-            let rumor = !matches!(kind, Kind::Differ { .. } | Kind::Contents);
+        // A member that is considered gone may be cut off itself and suspect everybody else, so
+        // its updates are ignored until it has refuted that.
+        if self.apply_header(now, from, &header, &mut actions) {
+            let gossiped = !matches!(kind, Kind::Differ { .. } | Kind::Contents);
             for news in &news {
-                self.learn(now, news, rumor, &mut actions);
+                self.apply_update(now, news, gossiped, &mut actions);
             }
         }
-        self.answer(now, from, &header, kind, &mut actions);
+        self.reply(now, from, &header, kind, &mut actions);
         actions
     }
 
-    fn answer(
+    fn reply(
         &mut self,
         now: Instant,
         from: SocketAddr,
@@ -49,64 +49,72 @@
         match kind {
             Kind::Ping { number, to } => {
                 if to.is_none_or(|to| to == self.me) {
-                    let mut news = self.pack(now);
+                    let mut news = self.pack_updates(now);
                     if number == 0 {
-                        news = vec![self.my_record().full()];
+                        news = vec![self.own_record().profile_update()];
                     }
-                    actions.push(self.send(from, Kind::Ack { number }, news));
+                    actions.push(self.send_action(from, Kind::Ack { number }, news));
                 }
             }
-            Kind::Ack { number: 0 } => actions.extend(self.sync(now, from)),
-            Kind::Ack { number } => actions.extend(self.acked(now, number)),
+            Kind::Ack { number: 0 } => actions.extend(self.start_sync(now, from)),
+            Kind::Ack { number } => actions.extend(self.handle_ack(now, number)),
             Kind::Relay {
                 number,
                 to,
                 address,
-            } => actions.push(self.relay(now, from, number, to, address)),
+            } => actions.push(self.relay_ping(now, from, number, to, address)),
             Kind::Gossip | Kind::Contents => {}
-            Kind::Digest(digest) => actions.extend(self.compare(now, from, &digest)),
+            Kind::Digest(digest) => actions.extend(self.answer_digest(now, from, &digest)),
             Kind::Differ { members, claims } => {
-                actions.extend(self.contents(now, from, &members, &claims));
+                actions.extend(self.answer_difference(now, from, &members, &claims));
+            }
+            Kind::Doubt { incarnation } => {
+                self.handle_refute_request(from, header, incarnation, actions)
             }
-            Kind::Doubt { incarnation } => self.refute(from, header, incarnation, actions),
         }
     }
 
-    /// Takes in the header; true when the sender is a member whose word counts.
-    fn hear(
+    /// Applies the header; true if the sender was known before and is live.
+    fn apply_header(
         &mut self,
         now: Instant,
         from: SocketAddr,
         header: &Header,
         actions: &mut Vec<Action>,
     ) -> bool {
-        self.newest(header.newest);
-        let told = Told {
+        self.raise_newest_offset(header.newest);
+        let report = Report {
             vm: &header.vm,
             incarnation: header.incarnation,
             state: State::Alive,
             profile: None,
         };
         let known = self.roster.records.contains_key(&header.vm);
-        let change = self.roster.take(now, told);
-        self.changed_by(now, &header.vm, change, false, actions);
+        let change = self.roster.apply(now, report);
+        self.handle_change(now, &header.vm, change, false, actions);
         let Some(record) = self.roster.records.get_mut(&header.vm) else {
             let incarnation = Incarnation(0);
-            actions.push(self.send(from, Kind::Doubt { incarnation }, Vec::new()));
+            actions.push(self.send_action(from, Kind::Doubt { incarnation }, Vec::new()));
             return false;
         };
-        if record.standing.state == State::Suspect && record.incarnation == header.incarnation {
+        if record.status.state == State::Suspect && record.incarnation == header.incarnation {
             let (vm, incarnation) = (header.vm.clone(), header.incarnation);
-            self.doubt(now, &vm, incarnation, actions);
+            self.request_refutation(now, &vm, incarnation, actions);
         }
-        // Not set in passing: a view that is not published anew hides from the other duties that a
-        // peer has a newer configuration, for as long as nothing else changes.
-        self.learn_applied(&header.vm, header.applied);
-        known && self.roster.records[&header.vm].live()
+        // Through the method that marks the view as changed: other threads read from the view which
+        // members have a newer configuration.
+        self.apply_offset(&header.vm, header.applied);
+        known && self.roster.records[&header.vm].is_live()
     }
 
-    /// Takes in one piece of news; `rumor` when it is passed on and not part of an exchange.
-    fn learn(&mut self, now: Instant, news: &News, rumor: bool, actions: &mut Vec<Action>) {
+    /// Merges one update; `gossiped` is false if it came in an anti-entropy exchange.
+    fn apply_update(
+        &mut self,
+        now: Instant,
+        news: &News,
+        gossiped: bool,
+        actions: &mut Vec<Action>,
+    ) {
         match news {
             News::Profile {
                 profile,
@@ -114,46 +122,47 @@
                 state,
                 applied,
             } => {
-                let told = Told {
+                let report = Report {
                     vm: &profile.vm,
                     incarnation: *incarnation,
                     state: *state,
                     profile: Some(profile),
                 };
-                self.learn_member(now, told, rumor, actions);
-                self.learn_applied(&profile.vm, *applied);
+                self.apply_report(now, report, gossiped, actions);
+                self.apply_offset(&profile.vm, *applied);
             }
             News::Status {
                 vm,
                 incarnation,
                 state,
             } => {
-                let told = Told {
+                let report = Report {
                     vm,
                     incarnation: *incarnation,
                     state: *state,
                     profile: None,
                 };
-                self.learn_member(now, told, rumor, actions);
+                self.apply_report(now, report, gossiped, actions);
             }
             News::Applied { vm, applied } => {
-                let item = Item::Applied(vm.clone());
-                if self.learn_applied(vm, *applied) {
-                    self.queue.push(item);
+                let subject = Subject::Applied(vm.clone());
+                if self.apply_offset(vm, *applied) {
+                    self.queue.push(subject);
                 } else {
-                    self.queue.count(&item, self.limit());
+                    self.queue
+                        .count_transmission(&subject, self.max_transmissions());
                 }
             }
             News::Claims { vm, boot, claims } => {
                 for claim in claims {
-                    let hint = Hint {
+                    let owner_claim = OwnerClaim {
                         epoch: claim.epoch,
                         vm: vm.clone(),
                         boot: *boot,
                         released: claim.released,
                     };
-                    let change = self.hints.claim(claim.shard, hint);
-                    self.passed(change, Item::Claim(vm.clone(), claim.shard), rumor);
+                    let change = self.shared.apply_claim(claim.shard, owner_claim);
+                    self.gossip_change(change, Subject::Claim(vm.clone(), claim.shard), gossiped);
                 }
             }
             News::Leaving {
@@ -161,96 +170,98 @@
                 serial,
                 seconds,
             } => {
-                let change = self.hints.leaving(now, server, *serial, *seconds);
-                self.passed(change, Item::Leaving(server.clone()), rumor);
+                let change = self.shared.apply_draining(now, server, *serial, *seconds);
+                self.gossip_change(change, Subject::Leaving(server.clone()), gossiped);
             }
         }
     }
 
-    fn passed(&mut self, change: Change, item: Item, rumor: bool) {
+    fn gossip_change(&mut self, change: Change, subject: Subject, gossiped: bool) {
         match change {
-            Change::Joined if !rumor => self.dirty = true,
+            Change::Joined if !gossiped => self.view_changed = true,
             Change::Joined | Change::Status | Change::Profile => {
-                self.dirty = true;
-                self.queue.push(item);
+                self.view_changed = true;
+                self.queue.push(subject);
             }
-            Change::Known if rumor => self.queue.count(&item, self.limit()),
+            Change::Known if gossiped => self
+                .queue
+                .count_transmission(&subject, self.max_transmissions()),
             _ => {}
         }
     }
 
-    fn learn_applied(&mut self, vm: &Vm, applied: Offset) -> bool {
-        self.newest(applied);
+    fn apply_offset(&mut self, vm: &Vm, applied: Offset) -> bool {
+        self.raise_newest_offset(applied);
         let Some(record) = self.roster.records.get_mut(vm) else {
             return false;
         };
         let newer = *vm != self.me && applied > record.applied;
         if newer {
             record.applied = applied;
-            self.dirty = true;
+            self.view_changed = true;
         }
         newer
     }
 
-    pub(super) fn learn_member(
+    pub(super) fn apply_report(
         &mut self,
         now: Instant,
-        told: Told<'_>,
-        rumor: bool,
+        report: Report<'_>,
+        gossiped: bool,
         actions: &mut Vec<Action>,
     ) {
-        if *told.vm == self.me {
-            self.learn_of_myself(told);
+        if *report.vm == self.me {
+            self.apply_report_about_self(report);
             return;
         }
-        let change = self.roster.take(now, told);
-        self.changed_by(now, told.vm, change, rumor, actions);
+        let change = self.roster.apply(now, report);
+        self.handle_change(now, report.vm, change, gossiped, actions);
     }
 
-    fn changed_by(
+    fn handle_change(
         &mut self,
         now: Instant,
         vm: &Vm,
         change: Change,
-        rumor: bool,
+        gossiped: bool,
         actions: &mut Vec<Action>,
     ) {
         match change {
-            Change::Doubt(incarnation) => self.doubt(now, vm, incarnation, actions),
-            Change::Status => self.passed(change, Item::Status(vm.clone()), rumor),
+            Change::Conflict(incarnation) => self.request_refutation(now, vm, incarnation, actions),
+            Change::Status => self.gossip_change(change, Subject::Status(vm.clone()), gossiped),
             Change::Known => {
-                self.passed(change, Item::Status(vm.clone()), rumor);
-                self.passed(change, Item::Profile(vm.clone()), rumor);
+                self.gossip_change(change, Subject::Status(vm.clone()), gossiped);
+                self.gossip_change(change, Subject::Profile(vm.clone()), gossiped);
             }
-            change => self.passed(change, Item::Profile(vm.clone()), rumor),
+            change => self.gossip_change(change, Subject::Profile(vm.clone()), gossiped),
         }
         if matches!(change, Change::Status | Change::Joined) {
-            let (vm, state) = (vm.clone(), self.roster.records[vm].standing.state);
+            let (vm, state) = (vm.clone(), self.roster.records[vm].status.state);
             actions.push(Action::Tell { vm, state });
         }
     }
 
-    /// Raises the incarnation above one at which others doubt this VM, or above that of an
-    /// earlier run, whose profile would otherwise hide the present one.
-    fn learn_of_myself(&mut self, told: Told<'_>) {
-        let record = self.my_record();
-        let doubted = told.state != State::Alive && told.incarnation == record.incarnation;
-        if told.incarnation > record.incarnation || doubted {
-            record.incarnation = Incarnation(told.incarnation.0 + 1);
-            if !doubted {
+    /// Raises the incarnation above one at which others suspect this VM, or above that of an
+    /// earlier run, whose profile would otherwise override the current one.
+    fn apply_report_about_self(&mut self, report: Report<'_>) {
+        let record = self.own_record();
+        let refuting = report.state != State::Alive && report.incarnation == record.incarnation;
+        if report.incarnation > record.incarnation || refuting {
+            record.incarnation = Incarnation(report.incarnation.0 + 1);
+            if !refuting {
                 record.profile.version = record.incarnation;
             }
-            let item = if doubted {
-                Item::Status(self.me.clone())
+            let subject = if refuting {
+                Subject::Status(self.me.clone())
             } else {
-                Item::Profile(self.me.clone())
+                Subject::Profile(self.me.clone())
             };
             self.counts.refutations += 1;
-            self.queue.push(item);
+            self.queue.push(subject);
         }
     }
 
-    fn refute(
+    fn handle_refute_request(
         &mut self,
         from: SocketAddr,
         header: &Header,
@@ -259,59 +270,58 @@
     ) {
         let unknown = incarnation == Incarnation(0);
         let me = self.me.clone();
-        let told = Told {
+        let report = Report {
             vm: &me,
             incarnation,
             state: State::Suspect,
             profile: None,
         };
-        self.learn_of_myself(told);
-        let record = self.my_record();
+        self.apply_report_about_self(report);
+        let record = self.own_record();
         let news = if unknown {
-            record.full()
+            record.profile_update()
         } else {
-            record.status()
+            record.status_update()
         };
-        let to = self.address(&header.vm).unwrap_or(from);
-        actions.push(self.send(to, Kind::Gossip, vec![news]));
+        let to = self.address_of(&header.vm).unwrap_or(from);
+        actions.push(self.send_action(to, Kind::Gossip, vec![news]));
     }
 
-    /// Tells a member that it is doubted, so that it can refute that soon.
-    pub(super) fn doubt(
+    /// Tells a member that it is suspected, so that it can refute that soon.
+    pub(super) fn request_refutation(
         &mut self,
         now: Instant,
         vm: &Vm,
         incarnation: Incarnation,
         actions: &mut Vec<Action>,
     ) {
-        if *vm == self.me || !self.roster.may_doubt(now, vm) {
+        if *vm == self.me || !self.roster.may_request_refutation(now, vm) {
             return;
         }
-        if let Some(to) = self.address(vm) {
-            actions.push(self.send(to, Kind::Doubt { incarnation }, Vec::new()));
-            // If it is dead, this VM missed the suspicion, and its own turn to probe it would
-            // come late in a large group.
-            self.probes.next(vm);
+        if let Some(to) = self.address_of(vm) {
+            actions.push(self.send_action(to, Kind::Doubt { incarnation }, Vec::new()));
+            // In a large group the regular probe of a dead member could be far off.
+            self.probes.probe_next(vm);
         }
     }
 
-    /// Holds a member in suspicion after it answered nobody.
-    pub(super) fn suspect(&mut self, now: Instant, vm: &Vm, actions: &mut Vec<Action>) {
+    /// Marks a member as suspect after an unanswered probe.
+    pub(super) fn mark_suspect(&mut self, now: Instant, vm: &Vm, actions: &mut Vec<Action>) {
         let Some(record) = self.roster.records.get_mut(vm) else {
             return;
         };
-        if record.standing.state != State::Alive {
+        if record.status.state != State::Alive {
             return;
         }
-        record.standing = Standing {
+        record.status = Status {
             state: State::Suspect,
             since: now,
         };
         let incarnation = record.incarnation;
-        self.roster.suspicious = true;
+        self.roster.may_have_suspects = true;
         self.counts.suspicions += 1;
-        self.passed(Change::Status, Item::Status(vm.clone()), true);
-        self.doubt(now, vm, incarnation, actions);
+        self.gossip_change(Change::Status, Subject::Status(vm.clone()), true);
+        self.request_refutation(now, vm, incarnation, actions);
         let (vm, state) = (vm.clone(), State::Suspect);
         actions.push(Action::Tell { vm, state });
     }
--- a/src/member/list.rs
+++ b/src/member/list.rs
@@ -1,5 +1,5 @@
-//! A client of the platform's VM list, which lags: it adds addresses to contact, and tells which
-//! backend servers are leaving; it never removes a member.
+//! Client of the platform's VM list, which may be outdated: it adds addresses to contact and names
+//! draining backend servers, but never removes a member.
 
 use super::introduction::Introduction;
 use crate::id::Server;
@@ -9,30 +9,27 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time between two reads of the list.
-const PERIOD: Duration = Duration::from_secs(2);
-/// How long a read may take.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The list as the platform gives it.
+/// VM list as the platform serves it.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct List {
-    /// Peer addresses of VMs.
+    /// Gossip addresses of VMs.
     pub(crate) vms: Vec<SocketAddr>,
-    /// What VMs have left of themselves; none in the platform's list.
+    /// Introduction records from the store; the platform's list has none.
     pub(crate) introductions: Vec<Introduction>,
-    /// Backend servers that are leaving.
     pub(crate) leaving: Vec<Server>,
 }
 
-/// Reads the list at `base` again and again; without an address it waits for ever.
+/// Polls the list at `base` until the receiver is dropped; without an address it never returns.
 pub(crate) async fn follow(base: Option<String>, lists: flume::Sender<List>) {
     let Some(base) = base else {
         return std::future::pending().await;
     };
     let client = reqwest::Client::builder()
-        .timeout(TIMEOUT)
+        .timeout(READ_TIMEOUT)
         .build()
         .expect("a client without TLS can be built");
     loop {
@@ -42,13 +39,13 @@
                     return;
                 }
             }
-            Err(fault) => event!(warn, "vm_list_failed", reason = fault),
+            Err(error) => event!(warn, "vm_list_failed", reason = error),
         }
-        sleep(PERIOD).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 async fn read(client: &reqwest::Client, base: &str) -> Result<List, reqwest::Error> {
-    let reply = client.get(format!("{base}/vms")).send().await?;
-    reply.error_for_status()?.json().await
+    let response = client.get(format!("{base}/vms")).send().await?;
+    response.error_for_status()?.json().await
 }
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -1,4 +1,4 @@
-//! Membership of the system's own VMs: who is alive, ready, and owns what.
+//! Gossip membership of the scheduler's VMs: which are alive and ready, and which shards they own.
 
 mod changes;
 mod duty;
--- a/src/member/probe.rs
+++ b/src/member/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: pings of one member after the other, directly and through others.
+//! Failure detection: pings one member after the other, directly and through relays.
 
 use super::gossip::{Action, Gossip};
 use super::wire::{Kind, State};
@@ -10,135 +10,131 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time between the starts of two probes.
-const PERIOD: Duration = Duration::from_millis(250);
-/// When a probe sends pings, from its start.
-const PINGS: [Duration; 4] = [
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Delays of a probe's pings from its start.
+const PING_DELAYS: [Duration; 4] = [
     Duration::ZERO,
     Duration::from_millis(150),
     Duration::from_millis(300),
     Duration::from_millis(500),
 ];
-/// From which ping on other members are asked to ping too.
-const INDIRECT: usize = 2;
-/// Members that are asked.
-const RELAYS: usize = 3;
-/// When an unanswered probe ends in a suspicion.
-const PATIENCE: Duration = Duration::from_millis(750);
-/// How long a member passes an acknowledgement back.
-const RELAYED: Duration = Duration::from_secs(1);
-/// Acknowledgements that a member passes back at most.
-const RELAYING: usize = 256;
-/// Without any acknowledgement for this long a VM holds its own connection to be at fault.
-const QUIET: Duration = Duration::from_millis(1500);
-/// After this long it goes on alone.
-const ALONE: Duration = Duration::from_secs(5);
+/// Index of the first ping that is also requested from other members.
+const FIRST_INDIRECT_PING: usize = 2;
+const MAX_INDIRECT_PROBERS: usize = 3;
+/// A probe without an acknowledgement for this long raises a suspicion.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(750);
+/// How long a relayed ping waits for its acknowledgement.
+const RELAY_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_RELAYED_PINGS: usize = 256;
+/// Without any acknowledgement for this long, a VM assumes that its own network has failed.
+const ISOLATED_AFTER: Duration = Duration::from_millis(1500);
+/// Without any acknowledgement for this long, it assumes that all other members have failed.
+const STANDALONE_AFTER: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
 struct Probe {
     vm: Vm,
     address: SocketAddr,
-    since: Instant,
+    started_at: Instant,
     pings: usize,
 }
 
 #[derive(Debug)]
 struct Relay {
-    back: SocketAddr,
+    requester: SocketAddr,
     number: u64,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// The probes under way.
+/// Probes in flight, and pings relayed for other members.
 #[derive(Debug)]
 pub(super) struct Probes {
-    order: Vec<Vm>,
-    due: Instant,
-    open: BTreeMap<u64, Probe>,
+    targets: Vec<Vm>,
+    next_start: Instant,
+    in_flight: BTreeMap<u64, Probe>,
     relays: BTreeMap<u64, Relay>,
-    acked: Instant,
+    last_ack: Instant,
 }
 
 impl Probes {
     pub(super) fn new(now: Instant) -> Self {
         Self {
-            order: Vec::new(),
-            due: now,
-            open: BTreeMap::new(),
+            targets: Vec::new(),
+            next_start: now,
+            in_flight: BTreeMap::new(),
             relays: BTreeMap::new(),
-            acked: now,
+            last_ack: now,
         }
     }
 
-    /// Whether others can be judged: somebody answered lately, or nobody has for so long that
-    /// this VM goes on alone.
+    /// Whether failures of other members may be concluded: some member answered recently, or none
+    /// has for so long that this VM continues alone.
     ///
-    /// A VM that can't hear, or can't be heard, gets no answer from anybody. It would suspect the
-    /// whole group and claim every shard, while the others are well.
+    /// Otherwise a VM with a failed network would suspect the whole group and claim every shard.
     pub(super) fn connected(&self, now: Instant) -> bool {
-        let silent = now.saturating_duration_since(self.acked);
-        silent < QUIET || silent >= ALONE
+        let silence = now.saturating_duration_since(self.last_ack);
+        silence < ISOLATED_AFTER || silence >= STANDALONE_AFTER
     }
 
-    /// Probes a member next.
-    pub(super) fn next(&mut self, vm: &Vm) {
-        self.order.retain(|other| other != vm);
-        self.order.push(vm.clone());
+    pub(super) fn probe_next(&mut self, vm: &Vm) {
+        self.targets.retain(|other| other != vm);
+        self.targets.push(vm.clone());
     }
 
-    /// Moves everything later by the time for which this process stood still.
-    pub(super) fn shift(&mut self, now: Instant, by: Duration) {
-        self.due = now;
-        self.acked += by;
-        for probe in self.open.values_mut() {
-            probe.since += by;
+    /// Extends all deadlines by the time for which this process was suspended.
+    pub(super) fn postpone(&mut self, now: Instant, stall: Duration) {
+        self.next_start = now;
+        self.last_ack += stall;
+        for probe in self.in_flight.values_mut() {
+            probe.started_at += stall;
         }
     }
 }
 
 impl Gossip {
-    pub(super) fn probe(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        self.probes.relays.retain(|_, relay| relay.until > now);
-        self.end_probes(now, actions);
-        if now >= self.probes.due {
-            self.probes.due = now + PERIOD;
+    pub(super) fn run_probes(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        self.probes.relays.retain(|_, relay| relay.expires_at > now);
+        self.expire_probes(now, actions);
+        if now >= self.probes.next_start {
+            self.probes.next_start = now + PROBE_INTERVAL;
             self.start_probe(now);
         }
-        self.ping_due(now, actions);
+        self.send_due_pings(now, actions);
     }
 
-    fn end_probes(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let over = |probe: &Probe| now.saturating_duration_since(probe.since) >= PATIENCE;
-        let ended: Vec<u64> = self
+    fn expire_probes(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        let timed_out =
+            |probe: &Probe| now.saturating_duration_since(probe.started_at) >= PROBE_TIMEOUT;
+        let expired: Vec<u64> = self
             .probes
-            .open
+            .in_flight
             .iter()
-            .filter(|(_, probe)| over(probe))
+            .filter(|(_, probe)| timed_out(probe))
             .map(|(number, _)| *number)
             .collect();
-        for number in ended {
-            let Some(probe) = self.probes.open.remove(&number) else {
+        for number in expired {
+            let Some(probe) = self.probes.in_flight.remove(&number) else {
                 continue;
             };
             if self.probes.connected(now) {
-                self.suspect(now, &probe.vm, actions);
+                self.mark_suspect(now, &probe.vm, actions);
             }
         }
     }
 
     fn start_probe(&mut self, now: Instant) {
-        if self.probes.order.is_empty() {
+        if self.probes.targets.is_empty() {
             let others = self.roster.live().map(|record| record.profile.vm.clone());
-            self.probes.order = others.filter(|vm| *vm != self.me).collect();
-            self.probes.order.shuffle(&mut self.rng);
-            if self.probes.order.is_empty() {
-                self.probes.acked = now;
+            self.probes.targets = others.filter(|vm| *vm != self.me).collect();
+            self.probes.targets.shuffle(&mut self.rng);
+            if self.probes.targets.is_empty() {
+                self.probes.last_ack = now;
             }
         }
-        // A suspect is told so and has to refute it; an answer to a probe would not settle it.
-        let record = std::iter::from_fn(|| self.probes.order.pop()).find_map(|vm| {
+        // Suspects are not probed: only a refutation clears a suspicion, an acknowledgement doesn't.
+        let record = std::iter::from_fn(|| self.probes.targets.pop()).find_map(|vm| {
             let record = self.roster.records.get(&vm)?;
-            (record.standing.state == State::Alive).then_some(record)
+            (record.status.state == State::Alive).then_some(record)
         });
         let Some(record) = record else {
             return;
@@ -146,96 +142,110 @@
         let probe = Probe {
             vm: record.profile.vm.clone(),
             address: record.profile.address,
-            since: now,
+            started_at: now,
             pings: 0,
         };
-        let number = self.number();
-        self.probes.open.insert(number, probe);
+        let number = self.random_ping_number();
+        self.probes.in_flight.insert(number, probe);
     }
 
-    fn ping_due(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn send_due_pings(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let mut due = Vec::new();
-        for (number, probe) in &mut self.probes.open {
-            let after = PINGS.get(probe.pings);
-            if after.is_some_and(|after| now.saturating_duration_since(probe.since) >= *after) {
+        for (number, probe) in &mut self.probes.in_flight {
+            let after = PING_DELAYS.get(probe.pings);
+            if after.is_some_and(|after| now.saturating_duration_since(probe.started_at) >= *after)
+            {
                 due.push((*number, probe.vm.clone(), probe.address, probe.pings));
                 probe.pings += 1;
             }
         }
         for (number, vm, address, pings) in due {
-            // Only the first ping carries news, which would be spent on a VM that does not answer.
+            // Only the first ping carries updates: a VM that does not answer would waste them.
             let news = if pings == 0 {
-                self.pack(now)
+                self.pack_updates(now)
             } else {
                 Vec::new()
             };
             let to = Some(vm.clone());
-            actions.push(self.send(address, Kind::Ping { number, to }, news));
-            if pings >= INDIRECT {
-                self.ask_others(number, &vm, address, actions);
+            actions.push(self.send_action(address, Kind::Ping { number, to }, news));
+            if pings >= FIRST_INDIRECT_PING {
+                self.request_indirect_pings(number, &vm, address, actions);
             }
         }
     }
 
-    fn ask_others(&mut self, number: u64, vm: &Vm, address: SocketAddr, actions: &mut Vec<Action>) {
-        for (other, to) in self.some(RELAYS + 1) {
+    fn request_indirect_pings(
+        &mut self,
+        number: u64,
+        vm: &Vm,
+        address: SocketAddr,
+        actions: &mut Vec<Action>,
+    ) {
+        for (other, to) in self.random_members(MAX_INDIRECT_PROBERS + 1) {
             if other != *vm {
                 let relay = Kind::Relay {
                     number,
                     to: vm.clone(),
                     address,
                 };
-                actions.push(self.send(to, relay, Vec::new()));
+                actions.push(self.send_action(to, relay, Vec::new()));
             }
         }
     }
 
-    /// Pings for another member.
-    pub(super) fn relay(
+    /// Pings a member on behalf of another one.
+    pub(super) fn relay_ping(
         &mut self,
         now: Instant,
-        back: SocketAddr,
+        requester: SocketAddr,
         number: u64,
         to: Vm,
         address: SocketAddr,
     ) -> Action {
-        let mine = self.number();
-        if self.probes.relays.len() < RELAYING {
-            let until = now + RELAYED;
+        let relay_number = self.random_ping_number();
+        if self.probes.relays.len() < MAX_RELAYED_PINGS {
+            let expires_at = now + RELAY_TIMEOUT;
             let relay = Relay {
-                back,
+                requester,
                 number,
-                until,
+                expires_at,
             };
-            self.probes.relays.insert(mine, relay);
+            self.probes.relays.insert(relay_number, relay);
         }
         let to = Some(to);
-        self.send(address, Kind::Ping { number: mine, to }, Vec::new())
+        self.send_action(
+            address,
+            Kind::Ping {
+                number: relay_number,
+                to,
+            },
+            Vec::new(),
+        )
     }
 
-    /// Takes in an acknowledgement.
-    pub(super) fn acked(&mut self, now: Instant, number: u64) -> Option<Action> {
+    /// Ends the probe with this number, or forwards the acknowledgement of a relayed ping.
+    pub(super) fn handle_ack(&mut self, now: Instant, number: u64) -> Option<Action> {
         if let Some(relay) = self.probes.relays.remove(&number) {
             let ack = Kind::Ack {
                 number: relay.number,
             };
-            return Some(self.send(relay.back, ack, Vec::new()));
+            return Some(self.send_action(relay.requester, ack, Vec::new()));
         }
-        if self.probes.open.remove(&number).is_some() {
-            self.probes.acked = now;
+        if self.probes.in_flight.remove(&number).is_some() {
+            self.probes.last_ack = now;
         }
         None
     }
 
-    /// A fresh number of a ping; zero is kept for contacts.
-    fn number(&mut self) -> u64 {
+    /// Zero is reserved for pings to contact addresses.
+    fn random_ping_number(&mut self) -> u64 {
         u64::from(self.rng.random_range(1..=u32::MAX))
     }
 
-    /// Whether a member is under suspicion.
+    /// Whether the member is known and currently suspected.
     #[must_use]
     pub fn suspects(&self, vm: &Vm) -> bool {
         let record = self.roster.records.get(vm);
-        record.is_some_and(|record| record.standing.state == State::Suspect)
+        record.is_some_and(|record| record.status.state == State::Suspect)
     }
 }
--- a/src/member/queue.rs
+++ b/src/member/queue.rs
@@ -1,30 +1,29 @@
-//! The news that a member passes on, each a bounded number of times.
+//! Queue of updates to gossip, each a bounded number of times.
 
 use crate::id::{Server, Shard, Vm};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Items above which profiles and claims are passed on less: when a large part of the group is
-/// new, the exchanges of digests carry them in fewer bytes than passing on does.
-const BULK: usize = 400;
-/// How often they are passed on then.
-const BULK_LIMIT: u32 = 3;
+/// Queue length above which profiles and claims are sent less often: when much of the group is
+/// new, anti-entropy exchanges transfer them in fewer bytes.
+const BULK_QUEUE_LENGTH: usize = 400;
+const MAX_BULK_TRANSMISSIONS: u32 = 3;
 
-/// What a piece of news is about; its content is looked up when it is sent.
+/// What an update is about; its content is looked up when it is sent.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Item {
+pub(super) enum Subject {
     Status(Vm),
     Profile(Vm),
     Applied(Vm),
-    /// A shard and who owns it; claims of one owner are sent together.
+    /// Owner and shard; claims of one owner are sent together.
     Claim(Vm, Shard),
     Leaving(Server),
 }
 
-impl Item {
-    /// Claims come last. A refutation that waits behind the claims of a large takeover comes too
-    /// late, and the VM is dropped.
-    fn rank(&self, salt: u64) -> (bool, u64) {
+impl Subject {
+    /// Claims sort last: a refutation queued behind the claims of a large takeover would come too
+    /// late to keep the VM in the group.
+    fn priority(&self, salt: u64) -> (bool, u64) {
         match self {
             Self::Claim(vm, _) => (true, xxh3_64_with_seed(vm.as_str().as_bytes(), salt)),
             _ => (false, 0),
@@ -32,70 +31,75 @@
     }
 }
 
-/// News by how often they were passed on or heard again.
+/// Subjects with the number of times each was sent or received again.
 #[derive(Debug)]
 pub(super) struct Queue {
     salt: u64,
-    items: BTreeMap<Item, u32>,
+    send_counts: BTreeMap<Subject, u32>,
 }
 
 impl Queue {
-    /// An empty queue; `salt` differs from VM to VM.
+    /// `salt` should differ between VMs, so that they send claims in different orders.
     pub(super) fn new(salt: u64) -> Self {
-        let items = BTreeMap::new();
-        Self { salt, items }
+        let send_counts = BTreeMap::new();
+        Self { salt, send_counts }
     }
 
-    /// Passes an item on from now.
-    pub(super) fn push(&mut self, item: Item) {
-        if let Item::Profile(vm) = &item {
-            self.items.remove(&Item::Status(vm.clone()));
+    /// Queues a new update. A profile includes the status, so a queued profile replaces a status.
+    pub(super) fn push(&mut self, subject: Subject) {
+        if let Subject::Profile(vm) = &subject {
+            self.send_counts.remove(&Subject::Status(vm.clone()));
         }
-        if let Item::Status(vm) = &item
-            && let Some(sent) = self.items.get_mut(&Item::Profile(vm.clone()))
+        if let Subject::Status(vm) = &subject
+            && let Some(sends) = self.send_counts.get_mut(&Subject::Profile(vm.clone()))
         {
-            *sent = 0;
+            *sends = 0;
             return;
         }
-        self.items.insert(item, 0);
+        self.send_counts.insert(subject, 0);
     }
 
-    /// Counts that an item was passed on, or heard from another member that has it already; an
-    /// item that everybody has is dropped the sooner.
-    pub(super) fn count(&mut self, item: &Item, limit: u32) {
-        let bulky = matches!(item, Item::Profile(_) | Item::Claim(..));
-        let limit = if bulky && self.items.len() > BULK {
-            limit.min(BULK_LIMIT)
+    /// Counts that an update was sent, or received from a member that already has it, and drops it
+    /// at the limit.
+    pub(super) fn count_transmission(&mut self, subject: &Subject, limit: u32) {
+        let is_bulk = matches!(subject, Subject::Profile(_) | Subject::Claim(..));
+        let limit = if is_bulk && self.send_counts.len() > BULK_QUEUE_LENGTH {
+            limit.min(MAX_BULK_TRANSMISSIONS)
         } else {
             limit
         };
-        if let Some(sent) = self.items.get_mut(item) {
-            *sent += 1;
-            if *sent >= limit {
-                self.items.remove(item);
+        if let Some(sends) = self.send_counts.get_mut(subject) {
+            *sends += 1;
+            if *sends >= limit {
+                self.send_counts.remove(subject);
             }
         }
     }
 
-    /// Drops an item.
-    pub(super) fn remove(&mut self, item: &Item) {
-        self.items.remove(item);
+    pub(super) fn remove(&mut self, subject: &Subject) {
+        self.send_counts.remove(subject);
     }
 
-    /// The items, urgent ones first, then those passed on least; claims of one owner stand
-    /// together, the owners in an order that differs from VM to VM.
-    pub(super) fn fresh(&self) -> Vec<Item> {
-        let ranked = |(item, sent): (&Item, &u32)| (item.rank(self.salt), *sent, item.clone());
-        let mut items: Vec<((bool, u64), u32, Item)> = self.items.iter().map(ranked).collect();
-        items.sort_by(|a, b| (a.0.0, a.1, a.0.1, &a.2).cmp(&(b.0.0, b.1, b.0.1, &b.2)));
-        items.into_iter().map(|(_, _, item)| item).collect()
+    /// Sorted subjects: urgent ones first, then those sent least. Claims of one owner are adjacent,
+    /// with the owners in an order that differs between VMs.
+    pub(super) fn by_priority(&self) -> Vec<Subject> {
+        let with_priority = |(subject, sends): (&Subject, &u32)| {
+            (subject.priority(self.salt), *sends, subject.clone())
+        };
+        let mut subjects: Vec<((bool, u64), u32, Subject)> =
+            self.send_counts.iter().map(with_priority).collect();
+        subjects.sort_by(|a, b| (a.0.0, a.1, a.0.1, &a.2).cmp(&(b.0.0, b.1, b.0.1, &b.2)));
+        subjects
+            .into_iter()
+            .map(|(_, _, subject)| subject)
+            .collect()
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.items.is_empty()
+        self.send_counts.is_empty()
     }
 
     pub(super) fn len(&self) -> usize {
-        self.items.len()
+        self.send_counts.len()
     }
 }
--- a/src/member/roster.rs
+++ b/src/member/roster.rs
@@ -1,4 +1,4 @@
-//! The record of every member, and how news of it are merged.
+//! Records of all known members, and the merging of reports about them.
 
 use super::wire::{News, Profile, State};
 use crate::id::{Incarnation, Offset, Vm};
@@ -6,151 +6,144 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a member that is gone is remembered, and contacted at a low rate.
-const MEMORY: Duration = Duration::from_hours(1);
-/// Members that are gone and remembered, at most.
-const GONE: usize = 1024;
-/// Time between two notes to one member that it is doubted.
-const DOUBT: Duration = Duration::from_millis(300);
+/// How long a gone member is remembered and still contacted, in case a network partition heals.
+const GONE_RETENTION: Duration = Duration::from_hours(1);
+const MAX_GONE_MEMBERS: usize = 1024;
+/// Least time between two messages telling a member that it is suspected.
+const REFUTE_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
-/// The state of a member, and since when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Standing {
+pub(super) struct Status {
     pub(super) state: State,
     pub(super) since: Instant,
 }
 
-/// What is known of one member.
 #[derive(Debug, Clone)]
 pub(super) struct Record {
     pub(super) profile: Profile,
     pub(super) incarnation: Incarnation,
     pub(super) applied: Offset,
-    pub(super) standing: Standing,
-    /// When it was last told that it is doubted.
-    pub(super) doubted: Option<Instant>,
+    pub(super) status: Status,
+    pub(super) refutation_requested_at: Option<Instant>,
 }
 
 impl Record {
-    pub(super) fn live(&self) -> bool {
-        matches!(self.standing.state, State::Alive | State::Suspect)
+    pub(super) fn is_live(&self) -> bool {
+        matches!(self.status.state, State::Alive | State::Suspect)
     }
 
-    /// Everything of it, as news.
-    pub(super) fn full(&self) -> News {
+    pub(super) fn profile_update(&self) -> News {
         News::Profile {
             profile: self.profile.clone(),
             incarnation: self.incarnation,
-            state: self.standing.state,
+            state: self.status.state,
             applied: self.applied,
         }
     }
 
-    /// Its state, as news.
-    pub(super) fn status(&self) -> News {
+    pub(super) fn status_update(&self) -> News {
         News::Status {
             vm: self.profile.vm.clone(),
             incarnation: self.incarnation,
-            state: self.standing.state,
+            state: self.status.state,
         }
     }
 }
 
-/// What somebody tells of a member.
+/// A received statement about a member: from its own header, a gossiped update or an introduction.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Told<'a> {
+pub(super) struct Report<'a> {
     pub(super) vm: &'a Vm,
     pub(super) incarnation: Incarnation,
     pub(super) state: State,
     pub(super) profile: Option<&'a Profile>,
 }
 
-/// What news of a member changed.
+/// Effect of merging a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Change {
-    /// Nothing: it is older than what is known, or can't be used.
+    /// None: the report is older than what is known, or can't be used.
     Stale,
-    /// Nothing: it is what is known.
+    /// None: the report agrees with what is known.
     Known,
-    /// The state or the incarnation.
+    /// The state or the incarnation changed.
     Status,
-    /// The profile, and perhaps the state too.
+    /// The profile changed, and perhaps the state too.
     Profile,
-    /// A member that was not known.
+    /// The member was not known before.
     Joined,
-    /// Nothing, but one side holds the member alive and the other gone: it has to tell a new
-    /// incarnation, above this one, to settle it.
-    Doubt(Incarnation),
+    /// None, but one side considers the member alive and the other gone. The member has to settle
+    /// it with an incarnation above this one.
+    Conflict(Incarnation),
 }
 
-/// Every member that is known, this VM among them.
+/// Records of all known members, including this VM.
 #[derive(Debug, Default)]
 pub(super) struct Roster {
     pub(super) records: BTreeMap<Vm, Record>,
-    /// Whether some member may be under suspicion; saves a look at every record at each tick.
-    pub(super) suspicious: bool,
+    /// False if no member is suspected, which saves scanning all records on each tick.
+    pub(super) may_have_suspects: bool,
 }
 
 impl Roster {
-    /// Takes in what somebody tells of a member.
+    /// Merges a report about a member.
     ///
-    /// That a member is gone is concluded by each VM for itself, after a suspicion that the member
-    /// had time to refute; the conclusion of another VM is never taken over. Otherwise the first
-    /// contact after a partition would remove each side from the other's view once more, and its
-    /// shards would be claimed, while all of its members are alive.
-    pub(super) fn take(&mut self, now: Instant, told: Told<'_>) -> Change {
-        self.suspicious |= told.state == State::Suspect;
-        let Some(record) = self.records.get_mut(told.vm) else {
-            return self.join(now, told);
+    /// Each VM concludes by itself that a member is gone, after a suspicion that the member had time
+    /// to refute, and never takes that state from another VM. Otherwise, when a network partition
+    /// heals, each side would remove the live members of the other and claim their shards.
+    pub(super) fn apply(&mut self, now: Instant, report: Report<'_>) -> Change {
+        self.may_have_suspects |= report.state == State::Suspect;
+        let Some(record) = self.records.get_mut(report.vm) else {
+            return self.insert_new(now, report);
         };
-        let newer = told
+        let newer = report
             .profile
             .filter(|profile| profile.version > record.profile.version);
         if let Some(profile) = newer {
             record.profile = profile.clone();
         }
-        let change = merge(now, record, told);
+        let change = merge(now, record, report);
         match change {
             Change::Stale | Change::Known | Change::Status if newer.is_some() => Change::Profile,
             change => change,
         }
     }
 
-    fn join(&mut self, now: Instant, told: Told<'_>) -> Change {
-        let (Some(profile), State::Alive | State::Suspect) = (told.profile, told.state) else {
+    fn insert_new(&mut self, now: Instant, report: Report<'_>) -> Change {
+        let (Some(profile), State::Alive | State::Suspect) = (report.profile, report.state) else {
             return Change::Stale;
         };
         let record = Record {
             profile: profile.clone(),
-            incarnation: told.incarnation,
+            incarnation: report.incarnation,
             applied: Offset(0),
-            standing: Standing {
-                state: told.state,
+            status: Status {
+                state: report.state,
                 since: now,
             },
-            doubted: None,
+            refutation_requested_at: None,
         };
-        self.records.insert(told.vm.clone(), record);
+        self.records.insert(report.vm.clone(), record);
         Change::Joined
     }
 
-    /// The members that are held to be alive.
+    /// Alive and suspected members.
     pub(super) fn live(&self) -> impl Iterator<Item = &Record> {
-        self.records.values().filter(|record| record.live())
+        self.records.values().filter(|record| record.is_live())
     }
 
-    /// Drops members whose suspicion has lasted for `suspicion`, and gives their names.
-    pub(super) fn expire(&mut self, now: Instant, suspicion: Duration) -> Vec<Vm> {
+    /// Marks members as gone that have been suspected for `timeout`, and returns them.
+    pub(super) fn expire_suspects(&mut self, now: Instant, timeout: Duration) -> Vec<Vm> {
         let mut gone = Vec::new();
-        if !std::mem::take(&mut self.suspicious) {
+        if !std::mem::take(&mut self.may_have_suspects) {
             return gone;
         }
         let suspects = self.records.iter_mut();
-        for (vm, record) in suspects.filter(|(_, r)| r.standing.state == State::Suspect) {
-            if now.saturating_duration_since(record.standing.since) < suspicion {
-                self.suspicious = true;
+        for (vm, record) in suspects.filter(|(_, r)| r.status.state == State::Suspect) {
+            if now.saturating_duration_since(record.status.since) < timeout {
+                self.may_have_suspects = true;
             } else {
-                record.standing = Standing {
+                record.status = Status {
                     state: State::Gone,
                     since: now,
                 };
@@ -160,79 +153,86 @@
         gone
     }
 
-    /// Members whose suspicion has lasted for half of `suspicion`.
-    pub(super) fn late_suspects(&self, now: Instant, suspicion: Duration) -> Vec<Vm> {
-        if !self.suspicious {
+    /// Members that have been suspected for at least half of `timeout`.
+    pub(super) fn late_suspects(&self, now: Instant, timeout: Duration) -> Vec<Vm> {
+        if !self.may_have_suspects {
             return Vec::new();
         }
         let late = self.records.iter().filter(|(_, record)| {
-            let lasted = now.saturating_duration_since(record.standing.since);
-            record.standing.state == State::Suspect && lasted >= suspicion / 2
+            let suspected_for = now.saturating_duration_since(record.status.since);
+            record.status.state == State::Suspect && suspected_for >= timeout / 2
         });
         late.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Forgets members that have long been gone.
-    pub(super) fn forget(&mut self, now: Instant) {
-        let old = |record: &Record| now.saturating_duration_since(record.standing.since) >= MEMORY;
+    /// Removes records of members that have been gone for long, and the oldest ones above the limit.
+    pub(super) fn remove_old(&mut self, now: Instant) {
+        let is_old =
+            |record: &Record| now.saturating_duration_since(record.status.since) >= GONE_RETENTION;
         self.records
-            .retain(|_, record| record.live() || !old(record));
+            .retain(|_, record| record.is_live() || !is_old(record));
         let mut gone: Vec<(Instant, Vm)> = self
             .records
             .iter()
-            .filter(|(_, record)| !record.live())
-            .map(|(vm, record)| (record.standing.since, vm.clone()))
+            .filter(|(_, record)| !record.is_live())
+            .map(|(vm, record)| (record.status.since, vm.clone()))
             .collect();
         gone.sort();
-        for (_, vm) in gone.iter().take(gone.len().saturating_sub(GONE)) {
+        for (_, vm) in gone
+            .iter()
+            .take(gone.len().saturating_sub(MAX_GONE_MEMBERS))
+        {
             self.records.remove(vm);
         }
     }
 
-    /// Whether to tell a member now that it is doubted.
-    pub(super) fn may_doubt(&mut self, now: Instant, vm: &Vm) -> bool {
+    /// Rate limit of messages that tell a member that it is suspected.
+    pub(super) fn may_request_refutation(&mut self, now: Instant, vm: &Vm) -> bool {
         let Some(record) = self.records.get_mut(vm) else {
             return false;
         };
-        if record.doubted.is_some_and(|at| now - at < DOUBT) {
+        if record
+            .refutation_requested_at
+            .is_some_and(|at| now - at < REFUTE_REQUEST_INTERVAL)
+        {
             return false;
         }
-        record.doubted = Some(now);
+        record.refutation_requested_at = Some(now);
         true
     }
 
-    /// Moves every suspicion later by the time for which this process stood still.
-    pub(super) fn shift(&mut self, by: Duration) {
+    /// Extends all suspicions by the time for which this process was suspended.
+    pub(super) fn postpone_suspicions(&mut self, stall: Duration) {
         for record in self.records.values_mut() {
-            if record.standing.state == State::Suspect {
-                record.standing.since += by;
+            if record.status.state == State::Suspect {
+                record.status.since += stall;
             }
         }
     }
 }
 
-fn merge(now: Instant, record: &mut Record, told: Told<'_>) -> Change {
+fn merge(now: Instant, record: &mut Record, report: Report<'_>) -> Change {
     use State::{Alive, Gone, Left, Suspect};
-    if told.incarnation < record.incarnation {
+    if report.incarnation < record.incarnation {
         return Change::Stale;
     }
-    let held = record.standing.state;
-    let state = if told.incarnation > record.incarnation {
-        match told.state {
-            Gone => return Change::Doubt(told.incarnation),
+    let known = record.status.state;
+    let state = if report.incarnation > record.incarnation {
+        match report.state {
+            Gone => return Change::Conflict(report.incarnation),
             state => state,
         }
     } else {
-        match (told.state, held) {
-            (Suspect, Alive) | (Left, Alive | Suspect) => told.state,
+        match (report.state, known) {
+            (Suspect, Alive) | (Left, Alive | Suspect) => report.state,
             (Gone, Alive | Suspect) | (Alive | Suspect, Gone) => {
-                return Change::Doubt(told.incarnation);
+                return Change::Conflict(report.incarnation);
             }
-            (told, held) if told == held => return Change::Known,
+            (reported, known) if reported == known => return Change::Known,
             _ => return Change::Stale,
         }
     };
-    record.incarnation = told.incarnation;
-    record.standing = Standing { state, since: now };
+    record.incarnation = report.incarnation;
+    record.status = Status { state, since: now };
     Change::Status
 }
--- a/src/member/tick.rs
+++ b/src/member/tick.rs
@@ -1,7 +1,7 @@
-//! What a member does as time passes: probes, passes news on, compares digests, finds others.
+//! Timed actions of a member: probes, gossip, anti-entropy exchanges and contacting lost members.
 
 use super::gossip::{Action, Gossip};
-use super::queue::Item;
+use super::queue::Subject;
 use super::wire::{Kind, State};
 use rand::seq::IndexedRandom;
 use std::collections::BTreeSet;
@@ -9,152 +9,160 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time between two datagrams that only pass news on.
-const NEWS: Duration = Duration::from_millis(200);
-/// Members that such datagrams go to.
-const FANOUT: usize = 2;
-/// Time between two exchanges of digests, and while much differs.
-const SYNC: (Duration, Duration) = (Duration::from_secs(1), Duration::from_millis(200));
-/// Time between two contacts of an address where no live member is known.
-const CONTACT: Duration = Duration::from_secs(1);
-/// Addresses contacted at once by a VM that knows no other.
-const CONTACTS: usize = 3;
-/// The shortest time between two announcements of the applied offset, and the part of it for
-/// each member: all members together announce at most ten a second.
-const APPLIED: (Duration, Duration) = (Duration::from_secs(1), Duration::from_millis(100));
-/// A gap between two ticks that means that this process stood still.
-const STALL: Duration = Duration::from_millis(500);
-/// Bytes a second that may be spent on news and exchanges, and saved up at most.
-pub(super) const BUDGET: (f64, f64) = (8_000.0, 40_000.0);
-/// The suspicion of a member of a small group.
-const SUSPICION: Duration = Duration::from_millis(1200);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
+/// Members that updates are sent to per interval.
+const GOSSIP_FANOUT: usize = 2;
+/// Time between two anti-entropy exchanges: normally, and after one that found many differences.
+const SYNC_INTERVALS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_millis(200));
+/// Time between pings to addresses without a known live member.
+const CONTACT_INTERVAL: Duration = Duration::from_secs(1);
+/// Addresses contacted at once by a VM that knows no other member.
+const MAX_CONTACTS_WHEN_ALONE: usize = 3;
+/// Least time between two announcements of the applied offset: a minimum, and an amount per member
+/// that bounds the rate of all members together.
+const OFFSET_INTERVALS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_millis(100));
+/// Time between two ticks from which this process counts as having been suspended.
+const STALL_THRESHOLD: Duration = Duration::from_millis(500);
+/// Token bucket for updates and exchanges: bytes per second, and burst in bytes.
+pub(super) const BYTE_BUDGET: (f64, f64) = (8_000.0, 40_000.0);
+/// How long a member of a small group is suspected before it counts as gone.
+const MIN_SUSPICION_TIMEOUT: Duration = Duration::from_millis(1200);
 
 impl Gossip {
-    /// Does what is due at `now`; called every 50 ms or so.
+    /// Performs the actions that are due at `now`; to be called about every 50 ms.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
         if self.left {
             return Vec::new();
         }
-        let gap = now.saturating_duration_since(self.ticked);
-        self.ticked = now;
-        self.tokens = BUDGET
+        let elapsed = now.saturating_duration_since(self.last_tick);
+        self.last_tick = now;
+        self.byte_budget = BYTE_BUDGET
             .0
-            .mul_add(gap.as_secs_f64(), self.tokens)
-            .min(BUDGET.1);
-        if gap >= STALL {
-            // A process that stood still finds every probe unanswered and every suspicion old,
-            // and would drop the whole group; nobody had a chance to answer it meanwhile.
-            self.roster.shift(gap);
-            self.probes.shift(now, gap);
+            .mul_add(elapsed.as_secs_f64(), self.byte_budget)
+            .min(BYTE_BUDGET.1);
+        if elapsed >= STALL_THRESHOLD {
+            // After a suspension all probes and suspicions look timed out, although no answer could
+            // be received meanwhile; without this, the whole group would be removed.
+            self.roster.postpone_suspicions(elapsed);
+            self.probes.postpone(now, elapsed);
         }
-        let mut actions = self.expire(now);
-        self.probe(now, &mut actions);
-        self.spread(now, &mut actions);
-        self.sync_due(now, &mut actions);
-        self.contact_due(now, &mut actions);
+        let mut actions = self.remove_unresponsive(now);
+        self.run_probes(now, &mut actions);
+        self.gossip(now, &mut actions);
+        self.start_due_sync(now, &mut actions);
+        self.contact_absent_members(now, &mut actions);
         self.announce_applied(now);
-        if self.servers != self.hints.servers(now) {
-            self.dirty = true;
+        if self.draining_servers != self.shared.draining_servers(now) {
+            self.view_changed = true;
         }
         actions
     }
 
-    fn expire(&mut self, now: Instant) -> Vec<Action> {
+    fn remove_unresponsive(&mut self, now: Instant) -> Vec<Action> {
         if !self.probes.connected(now) {
             return Vec::new();
         }
-        let gone = self.roster.expire(now, self.suspicion());
+        let gone = self.roster.expire_suspects(now, self.suspicion_timeout());
         for vm in &gone {
-            self.queue.remove(&Item::Status(vm.clone()));
-            self.queue.remove(&Item::Profile(vm.clone()));
+            self.queue.remove(&Subject::Status(vm.clone()));
+            self.queue.remove(&Subject::Profile(vm.clone()));
         }
         self.counts.removals += gone.len() as u64;
-        self.dirty |= !gone.is_empty();
-        let tell = |vm| Action::Tell {
+        self.view_changed |= !gone.is_empty();
+        let log_gone = |vm| Action::Tell {
             vm,
             state: State::Gone,
         };
-        let mut actions: Vec<Action> = gone.into_iter().map(tell).collect();
-        // The refutation may have been lost on the way to this VM alone, so it asks once more
-        // before it drops the member by itself.
-        for vm in self.roster.late_suspects(now, self.suspicion()) {
+        let mut actions: Vec<Action> = gone.into_iter().map(log_gone).collect();
+        // The refutation may have been lost only on its way to this VM, so ask once more before
+        // removing the member.
+        for vm in self.roster.late_suspects(now, self.suspicion_timeout()) {
             let incarnation = self.roster.records[&vm].incarnation;
-            self.doubt(now, &vm, incarnation, &mut actions);
+            self.request_refutation(now, &vm, incarnation, &mut actions);
         }
         actions
     }
 
-    /// How long a suspicion has to last; it grows with the time that news take to all members.
-    fn suspicion(&self) -> Duration {
-        let members = self.group as f64;
-        SUSPICION.mul_f64((members.log2() / 3.0).max(1.0))
+    /// Grows with the logarithm of the group size, like the time for gossip to reach all members.
+    fn suspicion_timeout(&self) -> Duration {
+        let members = self.member_count as f64;
+        MIN_SUSPICION_TIMEOUT.mul_f64((members.log2() / 3.0).max(1.0))
     }
 
-    fn spread(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if now < self.due.news {
+    fn gossip(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        if now < self.timers.gossip {
             return;
         }
-        self.due.news = now + NEWS;
+        self.timers.gossip = now + GOSSIP_INTERVAL;
         if self.queue.is_empty() {
             return;
         }
-        for (_, to) in self.some(FANOUT) {
-            let news = self.pack(now);
+        for (_, to) in self.random_members(GOSSIP_FANOUT) {
+            let news = self.pack_updates(now);
             if !news.is_empty() {
-                actions.push(self.send(to, Kind::Gossip, news));
+                actions.push(self.send_action(to, Kind::Gossip, news));
             }
         }
     }
 
-    fn sync_due(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if now < self.due.sync {
+    fn start_due_sync(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        if now < self.timers.sync {
             return;
         }
-        self.due.sync = now + if self.behind { SYNC.1 } else { SYNC.0 };
-        self.behind = false;
-        self.group = self.roster.live().count();
-        self.roster.forget(now);
-        self.hints.forget(now);
-        if let Some((_, to)) = self.some(1).pop() {
-            actions.extend(self.sync(now, to));
+        self.timers.sync = now
+            + if self.many_differences {
+                SYNC_INTERVALS.1
+            } else {
+                SYNC_INTERVALS.0
+            };
+        self.many_differences = false;
+        self.member_count = self.roster.live().count();
+        self.roster.remove_old(now);
+        self.shared.remove_expired(now);
+        if let Some((_, to)) = self.random_members(1).pop() {
+            actions.extend(self.start_sync(now, to));
         }
     }
 
-    /// Contacts an address where no live member is known, so that the sides of a partition and a
-    /// VM that starts find the others.
-    fn contact_due(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if now < self.due.contact {
+    /// Pings addresses without a known live member, so that the two sides of a network partition, or
+    /// a starting VM and the group, find each other.
+    fn contact_absent_members(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        if now < self.timers.contact {
             return;
         }
-        self.due.contact = now + CONTACT;
+        self.timers.contact = now + CONTACT_INTERVAL;
         let live: BTreeSet<SocketAddr> = self.roster.live().map(|r| r.profile.address).collect();
         let gone = self
             .roster
             .records
             .values()
-            .filter(|r| r.standing.state == State::Gone);
-        let mut places: BTreeSet<SocketAddr> = gone.map(|r| r.profile.address).collect();
-        places.extend(&self.contacts);
-        let places: Vec<SocketAddr> = places.difference(&live).copied().collect();
-        let count = if live.len() == 1 { CONTACTS } else { 1 };
-        let chosen: Vec<SocketAddr> = places.sample(&mut self.rng, count).copied().collect();
+            .filter(|r| r.status.state == State::Gone);
+        let mut addresses: BTreeSet<SocketAddr> = gone.map(|r| r.profile.address).collect();
+        addresses.extend(&self.contact_addresses);
+        let addresses: Vec<SocketAddr> = addresses.difference(&live).copied().collect();
+        let count = if live.len() == 1 {
+            MAX_CONTACTS_WHEN_ALONE
+        } else {
+            1
+        };
+        let chosen: Vec<SocketAddr> = addresses.sample(&mut self.rng, count).copied().collect();
         for to in chosen {
             let ping = Kind::Ping {
                 number: 0,
                 to: None,
             };
-            let me = self.my_record().full();
-            actions.push(self.send(to, ping, vec![me]));
+            let me = self.own_record().profile_update();
+            actions.push(self.send_action(to, ping, vec![me]));
         }
     }
 
     fn announce_applied(&mut self, now: Instant) {
-        let applied = self.my_record().applied;
-        if applied != self.announced && now >= self.due.applied {
-            let members = u32::try_from(self.group).unwrap_or(u32::MAX);
-            self.due.applied = now + APPLIED.0.max(APPLIED.1 * members);
-            self.announced = applied;
-            self.queue.push(Item::Applied(self.me.clone()));
+        let applied = self.own_record().applied;
+        if applied != self.announced_offset && now >= self.timers.offset {
+            let members = u32::try_from(self.member_count).unwrap_or(u32::MAX);
+            self.timers.offset = now + OFFSET_INTERVALS.0.max(OFFSET_INTERVALS.1 * members);
+            self.announced_offset = applied;
+            self.queue.push(Subject::Applied(self.me.clone()));
         }
     }
 }
--- a/src/member/view.rs
+++ b/src/member/view.rs
@@ -1,4 +1,4 @@
-//! What other duties see of the membership.
+//! View of the membership for the other threads of this process.
 
 use crate::id::{Boot, Epoch, Millicores, Offset, Server, Shard, Vm, Zone, rendezvous};
 use serde::{Deserialize, Serialize};
@@ -6,25 +6,25 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a VM says of itself.
+/// What this VM announces about itself to the members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Beat {
-    /// Its name.
+    /// Name of the VM, unique among the members.
     pub vm: Vm,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: Zone,
-    /// The run of its process.
+    /// Identifies one run of the process; differs after each restart.
     pub boot: Boot,
-    /// Where its peers reach it.
+    /// Address for gossip datagrams and for connections of other VMs.
     pub address: SocketAddr,
-    /// The processor time that it may use.
+    /// CPU limit of the VM, in thousandths of a core.
     pub cores: Millicores,
-    /// Whether it takes on shards: it has caught up and is not stopping.
+    /// Whether the VM accepts shards: it has caught up and is not stopping.
     pub ready: bool,
-    /// The configuration offset that it has applied.
+    /// Offset of the last configuration record that the VM has applied.
     pub applied: Offset,
-    /// The shards that it owns.
+    /// Shards that the VM owns, with the epochs of its claims.
     pub held: Vec<(Shard, Epoch)>,
 }
 
@@ -32,44 +32,42 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    /// Its name.
+    /// Name of the VM.
     pub vm: Vm,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: Zone,
-    /// The run of its process.
+    /// Identifies one run of the process; differs after each restart.
     pub boot: Boot,
-    /// Where its peers reach it.
+    /// Address for gossip datagrams and for connections of other VMs.
     pub address: SocketAddr,
-    /// The processor time that it may use.
+    /// CPU limit of the VM, in thousandths of a core.
     pub cores: Millicores,
-    /// Whether it takes on shards: it has caught up and is not stopping.
+    /// Whether the VM accepts shards: it has caught up and is not stopping.
     pub ready: bool,
-    /// The newest configuration offset that it is known to have applied.
+    /// Highest offset of a configuration record that the VM is known to have applied.
     pub applied: Offset,
-    /// The shards that it is known to own.
+    /// Shards that the VM is known to own, with the epochs of its claims.
     pub held: Vec<(Shard, Epoch)>,
-    /// Whether it is under suspicion; it keeps its shards until the suspicion is confirmed.
+    /// Whether the VM is suspected; it keeps its shards until it is considered gone.
     pub suspect: bool,
 }
 
-/// The members that are held to be alive, this VM among them.
+/// Alive and suspected members, including this VM.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct View {
-    /// Members by name.
+    /// Members by name of the VM.
     pub members: BTreeMap<Vm, Member>,
-    /// Backend servers that some VM knows to be leaving.
+    /// Backend servers that some VM has announced as draining.
     pub leaving: BTreeSet<Server>,
-    /// The newest configuration offset that any VM has applied.
+    /// Highest configuration offset that any VM is known to have applied.
     pub newest: Offset,
 }
 
-/// The pause between two views for each member in them.
-const PAUSE: Duration = Duration::from_micros(250);
+const REBUILD_PAUSE_PER_MEMBER: Duration = Duration::from_micros(250);
 
 impl View {
-    /// How long a view of so many members is used before a new one is built.
-    ///
-    /// A view takes time to build that grows with the members, and among more of them something changes more often.
+    /// Least time between two views of this many members. It grows with the group, since larger
+    /// views take longer to build and change more often.
     ///
     /// ```
     /// use std::time::Duration;
@@ -79,10 +77,10 @@
     /// ```
     #[must_use]
     pub fn pause(members: usize) -> Duration {
-        PAUSE * u32::try_from(members).unwrap_or(u32::MAX)
+        REBUILD_PAUSE_PER_MEMBER * u32::try_from(members).unwrap_or(u32::MAX)
     }
 
-    /// The member that says it owns `shard`, with the newest claim.
+    /// The member with the newest claim of `shard`, if any.
     ///
     /// ```
     /// use vanillatrail::{id::Shard, member::View};
@@ -99,7 +97,7 @@
             .map(|(_, member)| member)
     }
 
-    /// The ready member that comes first for `key` in rendezvous order.
+    /// The ready member that rendezvous hashing prefers for `key`; `None` if no member is ready.
     ///
     /// ```
     /// assert!(vanillatrail::member::View::default().first("pool/main").is_none());
--- a/src/member/wire.rs
+++ b/src/member/wire.rs
@@ -1,238 +1,239 @@
-//! The datagrams between members, sealed with the peer key.
+//! Encoding of the gossip datagrams, which are authenticated with the peer key.
 
 use crate::id::{Boot, Epoch, Incarnation, Millicores, Offset, Server, Shard, Vm, Zone};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bytes that a datagram may have, so that no network on the way has to split it.
+/// Largest datagram; fits the usual MTU without fragmentation.
 pub const DATAGRAM: usize = 1200;
-/// Bytes of the seal in front of a datagram.
-pub(super) const SEAL: usize = 16;
-/// Bytes of a datagram that are kept for its seal, header and kind.
-pub(super) const ENVELOPE: usize = 120;
+/// Length of the authentication tag in front of a datagram.
+pub(super) const TAG_BYTES: usize = 16;
+/// Bytes reserved in a datagram for its tag, header and kind.
+pub(super) const ENVELOPE_BYTES: usize = 120;
 
-/// Claims that are sent together at most, so that they fit a datagram.
-const CLAIMS: usize = 48;
-/// Bytes of one claim among those of its owner, at most.
-const CLAIM: usize = 20;
+/// Limits an update to what fits a datagram.
+const MAX_CLAIMS_PER_UPDATE: usize = 48;
+/// Largest encoding of one claim.
+const CLAIM_BYTES: usize = 20;
 
-// Variants and the fields of maps are named in one letter: the codec writes variant names out.
+// Variants are renamed to one letter because the codec writes variant names, but not field names.
 
-/// One datagram.
+/// Content of one datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Message {
-    /// The sender.
+    /// Identity and offsets of the sender.
     pub from: Header,
-    /// What is asked or answered.
+    /// Request or reply that the message carries.
     pub kind: Kind,
-    /// What the sender passes on.
+    /// Updates about members, shards and backend servers, piggybacked on the message.
     pub news: Vec<News>,
 }
 
-/// What every message tells of its sender.
+/// Sender information in every message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Header {
-    /// Its name.
+    /// Name of the sender.
     pub vm: Vm,
-    /// Its incarnation.
+    /// Current incarnation of the sender.
     pub incarnation: Incarnation,
-    /// The configuration offset that it has applied.
+    /// Offset of the last configuration record that the sender has applied.
     pub applied: Offset,
-    /// The newest configuration offset that it knows any VM to have applied.
+    /// Highest configuration offset that the sender knows any VM to have applied.
     pub newest: Offset,
 }
 
-/// What a message asks or answers.
+/// Request or reply of a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub enum Kind {
-    /// Asks for an [`Kind::Ack`]; only from the VM `to`, where it is known who has the address.
+    /// Requests a [`Kind::Ack`].
     #[serde(rename = "p")]
     Ping {
-        /// Comes back in the acknowledgement.
+        /// Returned in the acknowledgement; zero for a contact address.
         number: u64,
-        /// The VM that is asked.
+        /// VM that has to answer; `None` if it is unknown which VM has the address.
         to: Option<Vm>,
     },
-    /// Answers a ping.
+    /// Acknowledges a [`Kind::Ping`].
     #[serde(rename = "a")]
     Ack {
-        /// The number of the ping.
+        /// Number of the ping that is acknowledged.
         number: u64,
     },
-    /// Asks to ping another VM and to pass its acknowledgement back.
+    /// Requests an indirect ping: the receiver pings `to` and forwards its acknowledgement.
     #[serde(rename = "r")]
     Relay {
-        /// Comes back in the acknowledgement.
+        /// Returned in the forwarded acknowledgement.
         number: u64,
-        /// The VM to ping.
+        /// VM to ping.
         to: Vm,
-        /// Where it is.
+        /// Address of the VM to ping.
         address: SocketAddr,
     },
-    /// Only passes news on.
+    /// Carries only updates; not answered.
     #[serde(rename = "n")]
     Gossip,
-    /// Starts an exchange of what differs.
+    /// Starts an anti-entropy exchange.
     #[serde(rename = "d")]
     Digest(Digest),
-    /// Answers a digest: the news are the sender's contents of the buckets that differ.
+    /// Answers a digest, with the sender's contents of the differing buckets as updates.
     #[serde(rename = "f")]
     Differ {
-        /// The buckets of members that differ.
+        /// Indices of the differing member buckets.
         members: Vec<u8>,
-        /// The buckets of claims that differ.
+        /// Indices of the differing claim buckets.
         claims: Vec<u8>,
     },
-    /// Ends an exchange: the news are the sender's contents of the buckets that differ.
+    /// Ends an exchange, with the sender's contents of the differing buckets as updates.
     #[serde(rename = "c")]
     Contents,
-    /// Tells the receiver that it is suspected, or held to be gone or unknown, at an incarnation.
+    /// Tells the receiver that the sender suspects it, considers it gone or does not know it, so
+    /// that it can refute.
     #[serde(rename = "x")]
     Doubt {
-        /// The incarnation that it has to exceed; zero where it is not known at all.
+        /// Incarnation that the receiver has to exceed; zero if the sender does not know it.
         incarnation: Incarnation,
     },
 }
 
-/// Digests of what a member knows, by bucket.
+/// Bucketed hashes of the sender's membership state, for anti-entropy exchanges.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Digest {
-    /// Enters every digest, so that two that are equal by chance differ the next time.
+    /// Hashed into every digest, so that a collision does not recur in the next exchange.
     pub salt: u16,
-    /// Of the members that are held to be alive.
+    /// One hash per bucket of live members.
     pub members: Vec<u16>,
-    /// Of the claims of shards, by owner.
+    /// One hash per bucket of shard claims, bucketed by owner.
     pub claims: Vec<u16>,
-    /// Of the leaving backend servers.
+    /// Hash of the draining backend servers.
     pub leaving: u16,
 }
 
-/// The state in which a member is held.
+/// State of a member as another VM sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub enum State {
-    /// It answers, or has told a new incarnation since it last did not.
+    /// The member answers probes, or has refuted the last suspicion.
     #[serde(rename = "a")]
     Alive,
-    /// It did not answer somebody; it may refute this by a new incarnation.
+    /// A probe was not answered; the member can refute this with a higher incarnation.
     #[serde(rename = "s")]
     Suspect,
-    /// The sender held it in suspicion for long enough and dropped it from its view.
+    /// The suspicion was not refuted in time, and the member was removed from the view.
     #[serde(rename = "g")]
     Gone,
-    /// It said itself that it leaves.
+    /// The member announced that it leaves.
     #[serde(rename = "l")]
     Left,
 }
 
-/// What a member says of itself and seldom changes.
+/// Properties of a member that seldom change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Profile {
-    /// Its name.
+    /// Name of the VM.
     pub vm: Vm,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: Zone,
-    /// The run of its process.
+    /// Identifies one run of the process; differs after each restart.
     pub boot: Boot,
-    /// Where its peers reach it.
+    /// Address for gossip datagrams and for connections of other VMs.
     pub address: SocketAddr,
-    /// The processor time that it may use.
+    /// CPU limit of the VM, in thousandths of a core.
     pub cores: Millicores,
-    /// Whether it takes on shards.
+    /// Whether the VM accepts shards.
     pub ready: bool,
-    /// The incarnation at which this last changed.
+    /// Incarnation at which the profile last changed.
     pub version: Incarnation,
 }
 
-/// A claim of a shard.
+/// A VM's claim to own a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
-    /// The shard.
+    /// Shard that the VM claims.
     pub shard: Shard,
-    /// Where the claim stands; the highest counts.
+    /// Position of the claim in the log; the highest epoch wins.
     pub epoch: Epoch,
-    /// Whether the owner has given the shard up since.
+    /// Whether the owner has released the shard since.
     pub released: bool,
 }
 
-/// One piece of news.
+/// One gossiped update.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub enum News {
-    /// All of a member.
+    /// Everything known about a member.
     #[serde(rename = "p")]
     Profile {
-        /// What it says of itself.
+        /// Newest known profile.
         profile: Profile,
-        /// Its incarnation.
+        /// Newest known incarnation.
         incarnation: Incarnation,
-        /// The state in which it is held at that incarnation.
+        /// State at that incarnation.
         state: State,
-        /// The configuration offset that it has applied.
+        /// Offset of the last configuration record that the member has applied.
         applied: Offset,
     },
-    /// The state of a member whose profile has not changed.
+    /// A new state of a member whose profile has not changed.
     #[serde(rename = "s")]
     Status {
-        /// The member.
+        /// Name of the member.
         vm: Vm,
-        /// Its incarnation.
+        /// Newest known incarnation.
         incarnation: Incarnation,
-        /// The state in which it is held at that incarnation.
+        /// State at that incarnation.
         state: State,
     },
-    /// The configuration offset that a member has applied.
+    /// A member has applied newer configuration.
     #[serde(rename = "o")]
     Applied {
-        /// The member.
+        /// Name of the member.
         vm: Vm,
-        /// The offset.
+        /// Offset of the last configuration record that the member has applied.
         applied: Offset,
     },
-    /// A VM owns shards.
+    /// Shard claims of one owner.
     #[serde(rename = "c")]
     Claims {
-        /// The owner.
+        /// Name of the claiming VM.
         vm: Vm,
-        /// The run of its process.
+        /// Run of the process that made the claims; claims of earlier runs are void.
         boot: Boot,
-        /// Its claims.
+        /// Claims and releases, at most as many as fit a datagram.
         claims: Vec<Claim>,
     },
-    /// A backend server is leaving.
+    /// A backend server is draining.
     #[serde(rename = "b")]
     Leaving {
-        /// The server.
+        /// Name of the backend server.
         server: Server,
-        /// Raised when the announcement is renewed.
+        /// Raised by one when the notice is renewed.
         serial: u64,
-        /// Seconds for which the announcement still holds.
+        /// Seconds until the notice expires.
         seconds: u64,
     },
 }
 
 impl News {
-    /// Adds `more` to `news`; claims go to those of the same owner, where there are some.
-    pub(super) fn join(news: &mut Vec<Self>, more: Self) {
-        if more.joins(news)
+    /// Appends `added` to `news`, merging it into the last update if both are claims of one owner.
+    pub(super) fn push_merged(news: &mut Vec<Self>, added: Self) {
+        if added.merges_into(news)
             && let Some(Self::Claims { claims, .. }) = news.last_mut()
-            && let Self::Claims { claims: more, .. } = more
+            && let Self::Claims { claims: added, .. } = added
         {
-            claims.extend(more);
+            claims.extend(added);
         } else {
-            news.push(more);
+            news.push(added);
         }
     }
 
-    /// Whether these are claims of the owner that the last of `news` is about.
-    fn joins(&self, news: &[Self]) -> bool {
+    /// Whether this and the last of `news` are claims of one owner that fit one update.
+    fn merges_into(&self, news: &[Self]) -> bool {
         let (
             Self::Claims { vm, boot, .. },
             Some(Self::Claims {
@@ -244,21 +245,25 @@
         else {
             return false;
         };
-        owner == vm && run == boot && claims.len() < CLAIMS
+        owner == vm && run == boot && claims.len() < MAX_CLAIMS_PER_UPDATE
     }
 
-    /// Bytes on the wire when joined to `news`.
-    pub(super) fn size_in(&self, news: &[Self]) -> usize {
-        if self.joins(news) { CLAIM } else { self.size() }
+    /// Encoded size when appended to `news`.
+    pub(super) fn size_after(&self, news: &[Self]) -> usize {
+        if self.merges_into(news) {
+            CLAIM_BYTES
+        } else {
+            self.size()
+        }
     }
 
-    /// Bytes on the wire.
+    /// Encoded size in bytes.
     pub(super) fn size(&self) -> usize {
         rmp_serde::to_vec(self).map_or(DATAGRAM, |bytes| bytes.len())
     }
 }
 
-/// Seals and opens datagrams with the peer key.
+/// Authenticates datagrams with the peer key; does not encrypt them.
 ///
 /// ```
 /// use vanillatrail::member::{Message, Sealer};
@@ -277,7 +282,7 @@
 }
 
 impl Sealer {
-    /// A sealer for the peer key of the settings.
+    /// Derives the authentication key from the peer key of the settings.
     ///
     /// ```
     /// assert!(format!("{:?}", vanillatrail::member::Sealer::new("secret")).contains("Sealer"));
@@ -289,25 +294,25 @@
         }
     }
 
-    /// The datagram for a message.
+    /// Encodes a message as a datagram: the authentication tag, then `MessagePack`.
     ///
     /// # Panics
-    /// Where the message is of a type that the codec can't write; ours all can be written.
+    /// If the type of the message can't be encoded as `MessagePack`.
     #[must_use]
     pub fn seal<T: Serialize>(&self, message: &T) -> Vec<u8> {
-        let body = rmp_serde::to_vec(message).expect("a message can be encoded");
-        let mut datagram = self.hash(&body)[..SEAL].to_vec();
+        let body = rmp_serde::to_vec(message).expect("message types can be encoded");
+        let mut datagram = self.hash(&body)[..TAG_BYTES].to_vec();
         datagram.extend(body);
         datagram
     }
 
-    /// The message in a datagram, if it was sealed with the same key.
+    /// Decodes a datagram; `None` if the tag does not match the key or the content is malformed.
     #[must_use]
     pub fn open<T: DeserializeOwned>(&self, datagram: &[u8]) -> Option<T> {
-        let (seal, body) = datagram.split_at_checked(SEAL)?;
-        // Hashes of equal length are compared through a second keyed hash, so that the time taken
-        // tells a stranger nothing of the seal that it should have sent.
-        if self.hash(seal) != self.hash(&self.hash(body)[..SEAL]) {
+        let (tag, body) = datagram.split_at_checked(TAG_BYTES)?;
+        // Keyed hashes of both tags are compared, so that the timing reveals nothing about the
+        // expected tag.
+        if self.hash(tag) != self.hash(&self.hash(body)[..TAG_BYTES]) {
             return None;
         }
         rmp_serde::from_slice(body).ok()
