--- a/src/journal/duty.rs
+++ b/src/journal/duty.rs
@@ -1,4 +1,4 @@
-//! The journal thread: batches appends, and reads the streams that the owner follows.
+//! The journal thread: batches appends, and reads the streams that the owner thread follows.
 
 use super::record::{Record, decode, encode};
 use crate::id::{Offset, Sequence};
@@ -8,44 +8,44 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Records in one append at most; fewer than an epoch can tell apart.
-const BATCH: usize = 512;
-/// Appends that may follow each other at once after a quiet time.
-const BURST: u32 = 4;
-/// The pause between attempts while the log is down, at first and at most.
+/// Records per append; an epoch encodes the index of its record in the batch, which limits this.
+const MAX_BATCH_RECORDS: usize = 512;
+/// Appends allowed in a burst after an idle time.
+const BURST_APPENDS: u32 = 4;
+/// Initial and longest delay between attempts while the log is unavailable.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(500));
-/// How long one read waits for entries.
-const READ_WAIT: Duration = Duration::from_secs(1);
+/// How long the log may hold a read without new entries.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the owner asks of the journal.
+/// Command of the owner thread to the journal.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// Append a record; it is tried until the log takes it.
+    /// Append a record, retrying until the log accepts it.
     Append { stream: u64, record: Box<Record> },
-    /// Follow a stream from its oldest entry.
+    /// Read a stream from its oldest entry on, and report its entries as events.
     Follow { stream: u64 },
 }
 
-/// What the journal tells the owner.
+/// Event from the journal to the owner thread.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// The next entries of a stream, all that one read gave.
+    /// The next entries of a stream, as returned by one read.
     Page {
         stream: u64,
         entries: Vec<(Offset, Vec<Record>)>,
-        /// When the read was sent.
+        /// When the read was sent: the page reflects the stream at that time or later.
         asked: Instant,
     },
-    /// Entries before this offset are gone, and the owner has not seen them.
+    /// The log has trimmed entries before this offset that the owner thread has not read.
     Trimmed { stream: u64, first: Offset },
 }
 
-/// How many members share the appends.
+/// Provides the number of members that share the append rate of the log.
 pub(crate) trait Share: Clone + 'static {
     fn members(&self) -> usize;
 }
 
-/// Runs until the owner hangs up and everything is in the log.
+/// Runs until the owner thread drops its end of `commands`.
 pub(crate) async fn run<L: Log, S: Share>(
     log: L,
     commands: flume::Receiver<Command>,
@@ -54,7 +54,7 @@
     metrics: Metrics,
 ) {
     let mut writers: Vec<Option<flume::Sender<Record>>> = vec![None; pace.streams];
-    let mut followed: BTreeMap<u64, tokio::task::JoinHandle<()>> = BTreeMap::new();
+    let mut readers: BTreeMap<u64, tokio::task::JoinHandle<()>> = BTreeMap::new();
     while let Ok(command) = commands.recv_async().await {
         match command {
             Command::Append { stream, record } => {
@@ -63,8 +63,8 @@
             }
             Command::Follow { stream } => {
                 let reader = follow(log.clone(), stream, events.clone());
-                // An owner that was restarted reads the stream anew.
-                if let Some(old) = followed.insert(stream, tokio::task::spawn_local(reader)) {
+                // A restarted owner thread reads the stream again from the start.
+                if let Some(old) = readers.insert(stream, tokio::task::spawn_local(reader)) {
                     old.abort();
                 }
             }
@@ -72,7 +72,7 @@
     }
 }
 
-/// The share of the log's appends that this VM may use.
+/// This VM's share of the log's append rate, which is divided evenly among members and streams.
 #[derive(Debug, Clone)]
 pub(crate) struct Pace<S> {
     pub(crate) appends_per_second: u64,
@@ -82,8 +82,8 @@
 
 impl<S: Share> Pace<S> {
     fn interval(&self) -> Duration {
-        let parts = self.share.members().max(1) * self.streams;
-        Duration::from_secs(parts as u64) / u32::try_from(self.appends_per_second).unwrap_or(1)
+        let divisor = self.share.members().max(1) * self.streams;
+        Duration::from_secs(divisor as u64) / u32::try_from(self.appends_per_second).unwrap_or(1)
     }
 }
 
@@ -94,32 +94,32 @@
     pace: &Pace<S>,
     metrics: &Metrics,
 ) -> flume::Sender<Record> {
-    let slot = &mut writers[usize::try_from(stream).expect("a stream number is small")];
+    let writer = &mut writers[usize::try_from(stream).expect("a stream number is small")];
     let start = || {
-        let (items, queue) = flume::bounded(BATCH * 4);
+        let (sender, receiver) = flume::bounded(MAX_BATCH_RECORDS * 4);
         let pace = pace.clone();
-        tokio::task::spawn_local(write(log.clone(), stream, queue, pace, metrics.clone()));
-        items
+        tokio::task::spawn_local(write(log.clone(), stream, receiver, pace, metrics.clone()));
+        sender
     };
-    slot.get_or_insert_with(start).clone()
+    writer.get_or_insert_with(start).clone()
 }
 
 async fn write<L: Log, S: Share>(
     log: L,
     stream: u64,
-    queue: flume::Receiver<Record>,
+    records: flume::Receiver<Record>,
     pace: Pace<S>,
     metrics: Metrics,
 ) {
     let name = format!("journal-{stream}");
     let mut next = Instant::now();
-    while let Ok(first) = queue.recv_async().await {
-        // Bursts are let through; in the long run the VM keeps to its share of the appends.
+    while let Ok(first) = records.recv_async().await {
+        // Allows bursts, but on average no more than this VM's share of the append rate.
         let interval = pace.interval();
-        sleep_until(next - interval * BURST).await;
+        sleep_until(next - interval * BURST_APPENDS).await;
         next = next.max(Instant::now()) + interval;
         let batch: Vec<Record> = std::iter::once(first)
-            .chain(queue.try_iter().take(BATCH - 1))
+            .chain(records.try_iter().take(MAX_BATCH_RECORDS - 1))
             .collect();
         append(&log, &name, &batch).await;
         metrics.appends.add(1, &[]);
@@ -127,20 +127,20 @@
     }
 }
 
-/// Appends a batch, sending it again until the log has told its offset.
+/// Appends a batch, retrying until the log confirms it.
 ///
-/// The reply of an append can be lost after it took effect; the copy that is then sent again
-/// carries the same record ids, and readers keep the first.
+/// A retry can duplicate a batch whose confirmation was lost. Both copies carry the same record
+/// ids, and readers ignore the second.
 async fn append<L: Log>(log: &L, name: &str, batch: &[Record]) {
     let entry = encode(batch);
     let mut backoff = BACKOFF.0;
-    while let Err(fault) = log.append(name, entry.clone()).await {
+    while let Err(error) = log.append(name, entry.clone()).await {
         event!(
             warn,
             "append_failed",
             stream = name,
             records = batch.len(),
-            reason = fault
+            reason = error
         );
         sleep(backoff).await;
         backoff = (backoff * 2).min(BACKOFF.1);
@@ -152,10 +152,10 @@
     let mut next = Offset(0);
     loop {
         let asked = Instant::now();
-        let page = match log.read(&name, next, READ_WAIT).await {
+        let page = match log.read(&name, next, LONG_POLL_TIMEOUT).await {
             Ok(page) => page,
-            Err(fault) => {
-                event!(warn, "read_failed", stream = name, reason = fault);
+            Err(error) => {
+                event!(warn, "read_failed", stream = name, reason = error);
                 sleep(BACKOFF.1).await;
                 continue;
             }
@@ -178,7 +178,7 @@
         }
         let entries = page.entries.into_iter().map(|entry| {
             next = Offset(entry.offset.0 + 1);
-            (entry.offset, records(&name, &entry))
+            (entry.offset, decode_entry(&name, &entry))
         });
         let entries = entries.collect();
         let page = Event::Page {
@@ -192,25 +192,24 @@
     }
 }
 
-fn records(stream: &str, entry: &Entry) -> Vec<Record> {
-    decode(&entry.data).unwrap_or_else(|fault| {
+fn decode_entry(stream: &str, entry: &Entry) -> Vec<Record> {
+    decode(&entry.data).unwrap_or_else(|error| {
         event!(
             error,
             "entry_undecodable",
             stream = stream,
             offset = entry.offset,
-            reason = fault
+            reason = error
         );
         Vec::new()
     })
 }
 
-/// Numbers records of one process and stream.
+/// Sequence numbers of this process's records, counted per stream.
 #[derive(Debug, Default)]
 pub(crate) struct Numbers(Vec<u64>);
 
 impl Numbers {
-    /// Numbers for so many streams.
     pub(crate) fn new(streams: u64) -> Self {
         Self(vec![
             0;
--- a/src/journal/mod.rs
+++ b/src/journal/mod.rs
@@ -1,4 +1,5 @@
-//! Records of programs, and their way into the log and back.
+//! Records of programs and shards: their encoding, and writing them to and reading them from the
+//! log.
 
 mod duty;
 mod record;
--- a/src/journal/record.rs
+++ b/src/journal/record.rs
@@ -1,4 +1,4 @@
-//! The records of a shard and their encoding: a version byte, then `MessagePack`.
+//! Records of a shard and their encoding: a version byte, then `MessagePack`.
 
 use crate::code::Code;
 use crate::id::{Boot, Call, Digest, Epoch, Program, Sequence, Server, Shard, Tokens, Vm};
@@ -7,18 +7,18 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The encoding that this build writes.
+/// Encoding version that this build writes and reads.
 const VERSION: u8 = 1;
 
-/// Who wrote a record, and its place among the records of that process and stream.
+/// Unique id of a record, by which readers recognize duplicates.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Id {
-    /// The VM that wrote it.
+    /// VM that wrote the record.
     pub vm: Vm,
-    /// The run of the process that wrote it.
+    /// Run of the process that wrote the record.
     pub boot: Boot,
-    /// Grows by one with each record of that run.
+    /// Increases by one with each record that the run writes to the stream.
     pub sequence: Sequence,
 }
 
@@ -26,140 +26,142 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
-    /// Tells a record that was appended twice from two records.
+    /// Equal in two entries if a record was appended twice.
     pub id: Id,
-    /// The shard it is about.
+    /// Shard that the record belongs to.
     pub shard: Shard,
-    /// The claim under which it was written; it counts only if no newer claim precedes it.
+    /// Fencing token: epoch of the claim under which the record was written. The record is ignored
+    /// if a newer claim precedes it in the stream.
     pub epoch: Epoch,
-    /// What it says.
+    /// Change of the shard's state.
     pub body: Body,
 }
 
-/// What a record says.
+/// Content of a record: one change of a shard's state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Body {
-    /// The writer takes the shard; its place in the stream is the epoch.
+    /// The writer claims the shard; the record's position in the stream is the epoch.
     Claim,
-    /// The writer gives the shard up, to `successor` if named.
+    /// The writer releases the shard.
     Release {
-        /// The VM that should claim next.
+        /// VM that should claim the shard next; `None` leaves it to rendezvous order.
         successor: Option<Vm>,
     },
     /// A program was opened.
     Opened {
-        /// Its id.
+        /// Id of the new program.
         program: Program,
-        /// The key that opened it.
+        /// Idempotency key of the request that opened the program.
         key: String,
-        /// Its class.
+        /// Class that the caller chose for the program.
         class: crate::id::Class,
-        /// What it may spend.
+        /// Tokens and calls that the program may use.
         budget: Budget,
-        /// Milliseconds since the Unix epoch; for reports and time limits only.
+        /// Milliseconds since the Unix epoch; used only for reports and time limits.
         at_ms: u64,
     },
     /// A model call is about to be sent and may spend up to `reserve`.
     Begun {
-        /// The program.
+        /// Id of the program.
         program: Program,
-        /// The call.
+        /// Id of the call, unique within the program.
         call: Call,
-        /// The most that it can add to what the program has spent.
+        /// Most tokens that the call can use, reserved in the program's budget.
         reserve: Tokens,
-        /// The engine that will hold the cache of the program.
+        /// Engine that the call is sent to, which then caches the program's prompt.
         server: Server,
     },
     /// An attempt at a call ended without an answer after spending `tokens`.
     Settled {
-        /// The program.
+        /// Id of the program.
         program: Program,
-        /// The call.
+        /// Id of the call, unique within the program.
         call: Call,
-        /// What it spent.
+        /// Tokens used by the attempt.
         tokens: Tokens,
     },
-    /// A call that must not be repeated is about to be sent, once.
+    /// A call that must not be repeated is about to be sent; it is sent at most once.
     Intent {
-        /// The program.
+        /// Id of the program.
         program: Program,
-        /// The call.
+        /// Id of the call, unique within the program.
         call: Call,
-        /// The digest of its body.
+        /// Digest of the request body, to recognize a repeated request.
         digest: Digest,
-        /// The service and operation, for a status lookup.
+        /// Service and operation, for looking up the outcome after a failure.
         target: String,
     },
-    /// The intent was dropped before anything was sent.
+    /// An intent was withdrawn before anything was sent.
     Dropped {
-        /// The program.
+        /// Id of the program.
         program: Program,
-        /// The call.
+        /// Id of the call, unique within the program.
         call: Call,
     },
     /// A call has its final answer.
     Done {
-        /// The program.
+        /// Id of the program.
         program: Program,
-        /// The call.
+        /// Id of the call, unique within the program.
         call: Call,
-        /// The digest of its body.
+        /// Digest of the request body, to recognize a repeated request.
         digest: Digest,
-        /// Messages of the caller that join the history, before the answer.
+        /// Messages of the caller that are added to the history before the answer.
         messages: Vec<Message>,
-        /// The answer.
+        /// Answer that is returned, also to a repeated request.
         answer: Answer,
     },
-    /// The program ended, at its caller's wish or with a code.
+    /// The program ended.
     Ended {
-        /// The program.
+        /// Id of the program.
         program: Program,
-        /// Why, when its caller did not ask for it.
+        /// Result code; `None` if the caller ended the program.
         reason: Option<Code>,
-        /// Milliseconds since the Unix epoch, for the time that answers are kept.
+        /// Milliseconds since the Unix epoch, from which the retention of answers counts.
         at_ms: u64,
     },
-    /// A backend server holds no cache for the program any more.
+    /// A backend server has evicted the program's prefix cache.
     Evicted {
-        /// The program.
+        /// Id of the program.
         program: Program,
-        /// The backend server.
+        /// Backend server that had the cache.
         server: Server,
     },
-    /// The program is forgotten: ended, evicted and past the time its answers are kept.
+    /// The program was removed: it has ended, its caches are evicted and the retention of its
+    /// answers is over.
     Forgotten {
-        /// The program.
+        /// Id of the program.
         program: Program,
     },
-    /// A call opened a child program and is answered by it, in one record.
+    /// A call opened a child program; the record also answers the call.
     Spawned {
-        /// The parent.
+        /// Id of the parent program.
         program: Program,
-        /// The call of the parent.
+        /// Call of the parent that opened the child.
         call: Call,
-        /// The digest of its body.
+        /// Digest of the request body, to recognize a repeated request.
         digest: Digest,
-        /// The child.
+        /// Id of the child program.
         child: Program,
-        /// The class of the child.
+        /// Class of the child program.
         class: crate::id::Class,
-        /// What is carved out of the parent's budget.
+        /// Budget of the child, taken from the parent's budget.
         budget: Budget,
-        /// Milliseconds since the Unix epoch.
+        /// Milliseconds since the Unix epoch when the child was opened.
         at_ms: u64,
     },
-    /// The whole state of a program, so that its older records may be trimmed.
+    /// The full state of a program, so that its older records can be trimmed.
     Checkpoint {
-        /// The state.
+        /// State of the program after all earlier records.
         program: Box<State>,
     },
-    /// Every program of the shard has been written since the newest claim.
+    /// Checkpoints of all programs of the shard have been written since the newest claim.
     Checkpointed,
 }
 
 impl Body {
-    /// The program that the record is about; none for one about the shard.
+    /// The program that the record changes; `None` if it is about the shard itself.
     ///
     /// ```
     /// assert_eq!(vanillatrail::journal::Body::Claim.program(), None);
@@ -183,7 +185,7 @@
     }
 }
 
-/// The bytes are not a batch that this build can read.
+/// The bytes are not a batch of records that this build can read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Undecodable(String);
 
@@ -195,7 +197,7 @@
 
 impl std::error::Error for Undecodable {}
 
-/// Encodes a batch of records as one entry of the log.
+/// Encodes a batch of records as one log entry.
 ///
 /// ```
 /// use vanillatrail::journal::{decode, encode};
@@ -211,14 +213,14 @@
     bytes.into()
 }
 
-/// Decodes one entry of the log.
+/// Decodes one log entry into its batch of records.
 ///
 /// ```
 /// assert!(vanillatrail::journal::decode(b"\x09").is_err());
 /// ```
 ///
 /// # Errors
-/// When the version is unknown or the bytes are malformed.
+/// If the version is unknown or the bytes are malformed.
 pub fn decode(bytes: &[u8]) -> Result<Vec<Record>, Undecodable> {
     match bytes.split_first() {
         Some((&VERSION, rest)) => {
--- a/src/ownership/claimer.rs
+++ b/src/ownership/claimer.rs
@@ -1,48 +1,48 @@
-//! When to claim a shard: after the view has lacked its owner for a while, in rendezvous order.
+//! When a VM claims a shard without an owner, or hands one over to balance the load.
 
 use crate::id::{Epoch, Shard, Vm, rendezvous};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a shard lacks an owner before the first in rank claims it.
-const GRACE: Duration = Duration::from_millis(400);
-/// How much longer each next in rank waits.
-const RANK_WAIT: Duration = Duration::from_millis(600);
-/// How long a member must have been seen, without a break, before shards are handed over to it.
-const STEADY: Duration = Duration::from_secs(30);
-/// Time between two shards that one VM hands over to even out the load.
-const HANDOVER: Duration = Duration::from_secs(5);
-/// How long a claim is given to appear in the stream before it is made again.
-const CLAIM_WAIT: Duration = Duration::from_secs(3);
+/// How long a shard has no owner in the view before the first VM in rendezvous order claims it.
+const OWNERLESS_TIMEOUT: Duration = Duration::from_millis(400);
+/// Additional wait per rank of the other VMs.
+const WAIT_PER_RANK: Duration = Duration::from_millis(600);
+/// How long a member must have been eligible without interruption to be handed a shard.
+const MIN_ELIGIBLE_TIME: Duration = Duration::from_secs(30);
+/// Least time between two handovers by one VM to balance the load.
+const HANDOVER_INTERVAL: Duration = Duration::from_secs(5);
+/// How long a VM waits for its claim to appear in the stream before it claims again.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A member of the view that says it owns shards.
+/// A member of the view, with the shards that it claims to own.
 #[derive(Debug, Clone)]
 pub struct Sighting {
-    /// The member.
+    /// Name of the member.
     pub vm: Vm,
-    /// Whether it may claim: it is ready and not stopping.
+    /// Whether the member may own shards: it is ready and not stopping.
     pub eligible: bool,
-    /// The shards it says it owns, with the epochs of its claims.
+    /// Shards that the member says it owns, with the epochs of its claims.
     pub held: Vec<(Shard, Epoch)>,
 }
 
-/// Decides when this VM claims a shard.
+/// Decides when this VM claims shards and hands them over.
 ///
-/// A wrong decision costs an append and a takeover, never a result: the log orders the claims.
+/// A wrong decision only costs an append and a takeover: the log decides which claim is valid.
 #[derive(Debug)]
 pub struct Claimer {
     me: Vm,
     shards: u64,
-    lacking: BTreeMap<Shard, Instant>,
-    claimed: BTreeMap<Shard, Instant>,
-    /// Since when each member has been seen to be eligible without a break.
-    steady: BTreeMap<Vm, Instant>,
-    handed: Option<Instant>,
+    ownerless_since: BTreeMap<Shard, Instant>,
+    claimed_at: BTreeMap<Shard, Instant>,
+    /// Since when each member has been eligible without interruption.
+    eligible_since: BTreeMap<Vm, Instant>,
+    last_handover: Option<Instant>,
 }
 
 impl Claimer {
-    /// A claimer for `me` over `shards` shards.
+    /// A claimer on the VM `me`, for shards numbered from zero up to `shards`.
     ///
     /// ```
     /// let claimer = vanillatrail::ownership::Claimer::new("vm-a".parse().unwrap(), 16);
@@ -53,14 +53,14 @@
         Self {
             me,
             shards,
-            lacking: BTreeMap::new(),
-            claimed: BTreeMap::new(),
-            steady: BTreeMap::new(),
-            handed: None,
+            ownerless_since: BTreeMap::new(),
+            claimed_at: BTreeMap::new(),
+            eligible_since: BTreeMap::new(),
+            last_handover: None,
         }
     }
 
-    /// The shards to claim now, given what the members say, `me` among them.
+    /// The shards that this VM should claim at `now`; `members` must include this VM.
     ///
     /// ```
     /// use vanillatrail::ownership::Claimer;
@@ -68,40 +68,40 @@
     /// assert!(claimer.due(tokio::time::Instant::now(), &[]).is_empty());
     /// ```
     pub fn due(&mut self, now: Instant, members: &[Sighting]) -> Vec<Shard> {
-        let held: std::collections::BTreeSet<Shard> = members
+        let owned: std::collections::BTreeSet<Shard> = members
             .iter()
             .flat_map(|member| member.held.iter().map(|(shard, _)| *shard))
             .collect();
-        let mut due = Vec::new();
+        let mut to_claim = Vec::new();
         for shard in (0..self.shards).map(Shard) {
-            if held.contains(&shard) {
-                self.lacking.remove(&shard);
-                self.claimed.remove(&shard);
+            if owned.contains(&shard) {
+                self.ownerless_since.remove(&shard);
+                self.claimed_at.remove(&shard);
                 continue;
             }
-            let since = *self.lacking.entry(shard).or_insert(now);
+            let since = *self.ownerless_since.entry(shard).or_insert(now);
             let Some(rank) = self.rank(shard, members) else {
                 continue;
             };
-            let wait = GRACE + RANK_WAIT * u32::try_from(rank).unwrap_or(u32::MAX);
-            let waiting = self
-                .claimed
+            let wait = OWNERLESS_TIMEOUT + WAIT_PER_RANK * u32::try_from(rank).unwrap_or(u32::MAX);
+            let claim_pending = self
+                .claimed_at
                 .get(&shard)
-                .is_some_and(|at| now - *at < CLAIM_WAIT);
-            if now - since >= wait && !waiting {
-                self.claimed.insert(shard, now);
-                due.push(shard);
+                .is_some_and(|at| now - *at < CLAIM_TIMEOUT);
+            if now - since >= wait && !claim_pending {
+                self.claimed_at.insert(shard, now);
+                to_claim.push(shard);
             }
         }
-        due
+        to_claim
     }
 
-    /// The shard to hand over now, and to whom; `idle` tells which shards have nothing under way.
+    /// The shard to hand over at `now` and the VM that should take it over, if any. `idle` says
+    /// whether a shard has no work in flight.
     ///
-    /// Ownership is sticky: a shard moves only from a VM that has more than its even share to one
-    /// that has less, one at a time with a pause between. A member counts only after it has been
-    /// seen for a while without a break, so one that comes and goes moves nothing; each move would
-    /// cost callers of the shard the time of a takeover.
+    /// Each move costs the callers of the shard the time of a takeover. So a shard moves only from a
+    /// VM with more than its even share to one with less, one at a time, and only to a member that
+    /// has been eligible for some time: unstable members cause no moves.
     ///
     /// ```
     /// use vanillatrail::ownership::Claimer;
@@ -115,39 +115,43 @@
         idle: impl Fn(Shard) -> bool,
     ) -> Option<(Shard, Vm)> {
         let eligible = || members.iter().filter(|member| member.eligible);
-        self.steady
+        self.eligible_since
             .retain(|vm, _| eligible().any(|member| member.vm == *vm));
         for member in eligible() {
-            self.steady.entry(member.vm.clone()).or_insert(now);
+            self.eligible_since.entry(member.vm.clone()).or_insert(now);
         }
-        if self.handed.is_some_and(|at| now - at < HANDOVER) {
+        if self
+            .last_handover
+            .is_some_and(|at| now - at < HANDOVER_INTERVAL)
+        {
             return None;
         }
-        let even = self.shards.div_ceil(eligible().count().max(1) as u64);
-        let mine = &eligible().find(|member| member.vm == self.me)?.held;
-        if mine.len() as u64 <= even {
+        let even_share = self.shards.div_ceil(eligible().count().max(1) as u64);
+        let own_shards = &eligible().find(|member| member.vm == self.me)?.held;
+        if own_shards.len() as u64 <= even_share {
             return None;
         }
-        let (shard, _) = mine.iter().find(|(shard, _)| idle(*shard))?;
-        let takers = eligible().filter(|member| {
-            now - self.steady[&member.vm] >= STEADY && (member.held.len() as u64) < even
+        let (shard, _) = own_shards.iter().find(|(shard, _)| idle(*shard))?;
+        let recipients = eligible().filter(|member| {
+            now - self.eligible_since[&member.vm] >= MIN_ELIGIBLE_TIME
+                && (member.held.len() as u64) < even_share
         });
         let key = format!("shard/{shard}");
-        let taker = takers.max_by_key(|member| rendezvous(&key, member.vm.as_str()))?;
-        self.handed = Some(now);
-        Some((*shard, taker.vm.clone()))
+        let recipient = recipients.max_by_key(|member| rendezvous(&key, member.vm.as_str()))?;
+        self.last_handover = Some(now);
+        Some((*shard, recipient.vm.clone()))
     }
 
     fn rank(&self, shard: Shard, members: &[Sighting]) -> Option<usize> {
         let key = format!("shard/{shard}");
         let score = |vm: &Vm| (rendezvous(&key, vm.as_str()), vm.clone());
-        let mine = score(&self.me);
+        let own_score = score(&self.me);
         let mut eligible = members.iter().filter(|member| member.eligible).peekable();
         eligible.clone().find(|member| member.vm == self.me)?;
         Some(
             eligible
                 .by_ref()
-                .filter(|member| score(&member.vm) > mine)
+                .filter(|member| score(&member.vm) > own_score)
                 .count(),
         )
     }
--- a/src/ownership/ledger.rs
+++ b/src/ownership/ledger.rs
@@ -1,49 +1,49 @@
-//! The verdict on each record of a shard, computed alike by every reader of the stream.
+//! Decides which records of a shard are valid; every reader of the stream computes the same.
 
 use crate::id::{Boot, Epoch, Offset, Sequence, Vm};
 use crate::journal::{Body, Record};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The VM whose claim is the newest.
+/// The VM with the newest claim of a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Holder {
-    /// The VM.
+    /// Name of the VM.
     pub vm: Vm,
-    /// The run of its process.
+    /// Run of the process that made the claim.
     pub boot: Boot,
-    /// Where its claim stands.
+    /// Position of the claim in the stream, which serves as fencing token.
     pub epoch: Epoch,
 }
 
-/// Whether a record counts.
+/// Whether a record of the stream is valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// A claim that starts this epoch.
+    /// A claim, which starts this epoch.
     Claimed(Epoch),
-    /// Written under the newest claim: it counts.
+    /// Written by the owner under the newest claim.
     Valid,
-    /// Written under an older claim: it does not count.
+    /// Written under a superseded or released claim, to be ignored.
     Void,
-    /// A copy of a record that stands earlier in the stream.
+    /// A copy of an earlier record of the stream, to be ignored.
     Duplicate,
 }
 
-/// The claims of one shard in the order of its stream.
+/// The ownership of one shard, as decided by the claims and releases in its stream.
 ///
-/// Only the place of a record in the stream matters: no clock, no lease time and no member view
-/// enters the verdict, so a paused former owner can append what it likes without effect.
+/// Only the order of the records in the stream matters, not clocks, leases or the member view: late
+/// appends of a suspended former owner have no effect.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     holder: Option<Holder>,
-    // A claim appended again after a lost reply must not start an epoch of its own, or a deposed
-    // VM would depose its successor by a copy that was delayed on the way.
-    seen: BTreeMap<(Vm, Boot), Sequence>,
+    // Detects duplicates: otherwise a retried claim that arrives late would take the shard from a
+    // newer owner.
+    last_sequences: BTreeMap<(Vm, Boot), Sequence>,
 }
 
 impl Ledger {
-    /// The VM whose claim is the newest so far, unless it has released the shard.
+    /// The owner after the records so far; `None` before the first claim and after a release.
     ///
     /// ```
     /// assert!(vanillatrail::ownership::Ledger::default().holder().is_none());
@@ -53,7 +53,7 @@
         self.holder.as_ref()
     }
 
-    /// Takes in the record at place `index` of the batch at `offset` and judges it.
+    /// Applies the record with this index in the batch at `offset`, and returns whether it is valid.
     ///
     /// ```
     /// use vanillatrail::id::{Boot, Epoch, Offset, Sequence, Shard};
@@ -73,13 +73,13 @@
     pub fn judge(&mut self, offset: Offset, index: usize, record: &Record) -> Verdict {
         let writer = (record.id.vm.clone(), record.id.boot);
         if self
-            .seen
+            .last_sequences
             .get(&writer)
             .is_some_and(|last| record.id.sequence <= *last)
         {
             return Verdict::Duplicate;
         }
-        self.seen.insert(writer, record.id.sequence);
+        self.last_sequences.insert(writer, record.id.sequence);
         if matches!(record.body, Body::Claim) {
             let epoch = Epoch::at(offset, index);
             let Record { id, .. } = record;
--- a/src/ownership/mod.rs
+++ b/src/ownership/mod.rs
@@ -1,4 +1,4 @@
-//! Who owns a shard: decided by the order of claims in the log, steered by the member view.
+//! Shard ownership: decided by the order of claims in the log; the member view says when to claim.
 
 mod claimer;
 mod ledger;
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -1,6 +1,6 @@
-//! Kept connections to the other VMs.
+//! Persistent connections to the other VMs.
 
-use super::MESSAGE;
+use super::MAX_MESSAGE_BYTES;
 use crate::code::Failure;
 use crate::config::Book;
 use crate::dispatch::{Grant, Key};
@@ -16,38 +16,39 @@
 use std::time::Duration;
 use tokio::sync::Mutex;
 
-/// How long a connection may take to stand.
-const CONNECT: Duration = Duration::from_secs(1);
-/// How long a peer may take to accept a request.
-const ACCEPT: Duration = Duration::from_secs(3);
-/// Time between pings, and silence after which a peer counts as lost.
-const PING: (Duration, Duration) = (Duration::from_millis(700), Duration::from_millis(2500));
-/// Frames that may wait for a slow reader before its stream is cut and asked for again.
-const FRAMES: usize = 8192;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a peer may take to accept a request, not to answer it.
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval of WebSocket pings, and time without any data after which the connection is closed.
+const PING_TIMES: (Duration, Duration) = (Duration::from_millis(700), Duration::from_millis(2500));
+/// Buffered frames per subscription; a reader that falls further behind loses its subscription and
+/// has to request it again.
+const MAX_BUFFERED_FRAMES: usize = 8192;
 
-/// The peer can't be reached, or the connection broke; whether it acted is not known.
+/// The peer is unreachable or the connection broke; the request may still have taken effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Lost;
 
-/// Holds a permit: the dispatcher takes it back when this is dropped.
+/// Keeps a permit: the dispatcher releases it when this subscription is dropped.
 pub(crate) type PermitStream = Subscription<Result<Grant, Failure>>;
 
-/// Connections by peer address, made when first needed.
+/// Connections by peer address, opened on first use.
 #[derive(Debug, Clone)]
 pub(crate) struct Links {
     key: Arc<str>,
-    kept: Arc<Mutex<HashMap<SocketAddr, Arc<WsClient>>>>,
+    clients: Arc<Mutex<HashMap<SocketAddr, Arc<WsClient>>>>,
 }
 
 impl Links {
     pub(crate) fn new(key: &str) -> Self {
         Self {
             key: key.into(),
-            kept: Arc::default(),
+            clients: Arc::default(),
         }
     }
 
-    /// Sends a request to the owner at `to`; frames come until the final one.
+    /// Sends a request to the shard owner at `to` and returns the frames of its answer, for which the
+    /// caller waits up to `wait`.
     pub(crate) async fn ask(
         &self,
         to: SocketAddr,
@@ -63,15 +64,15 @@
             .map_err(|_| Lost)
     }
 
-    /// Waits for a permit from the dispatcher at `to`.
+    /// Requests a permit from the dispatcher at `to` and waits until it is granted or refused.
     pub(crate) async fn permit(
         &self,
         to: SocketAddr,
         key: &Key,
-        ask: &policy::Request,
+        request: &policy::Request,
     ) -> Result<(Result<Grant, Failure>, PermitStream), Lost> {
         let client = self.client(to).await?;
-        let params = rpc_params![&self.key, key, ask];
+        let params = rpc_params![&self.key, key, request];
         let mut stream: PermitStream = client
             .subscribe("permit", params, "unpermit")
             .await
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The configuration as the peer at `to` has folded it.
+    /// Fetches the configuration that the peer at `to` has applied.
     pub(crate) async fn config(&self, to: SocketAddr) -> Result<Book, Lost> {
         let client = self.client(to).await?;
         client
@@ -91,7 +92,7 @@
             .map_err(|_| Lost)
     }
 
-    /// Tells the dispatcher at `to` how a call went.
+    /// Reports the outcome of a call to the dispatcher at `to`.
     pub(crate) async fn done(
         &self,
         to: SocketAddr,
@@ -108,30 +109,30 @@
     }
 
     async fn client(&self, to: SocketAddr) -> Result<Arc<WsClient>, Lost> {
-        if let Some(client) = self.kept.lock().await.get(&to)
+        if let Some(client) = self.clients.lock().await.get(&to)
             && client.is_connected()
         {
             return Ok(client.clone());
         }
         let ping = PingConfig::new()
-            .ping_interval(PING.0)
-            .inactive_limit(PING.1)
+            .ping_interval(PING_TIMES.0)
+            .inactive_limit(PING_TIMES.1)
             .max_failures(1);
         let builder = WsClientBuilder::new()
-            .connection_timeout(CONNECT)
-            .request_timeout(ACCEPT)
+            .connection_timeout(CONNECT_TIMEOUT)
+            .request_timeout(ACCEPT_TIMEOUT)
             .enable_ws_ping(ping)
-            .max_request_size(MESSAGE)
-            .max_response_size(MESSAGE)
+            .max_request_size(MAX_MESSAGE_BYTES)
+            .max_response_size(MAX_MESSAGE_BYTES)
             .max_concurrent_requests(4096)
-            .max_buffer_capacity_per_subscription(FRAMES)
+            .max_buffer_capacity_per_subscription(MAX_BUFFERED_FRAMES)
             .set_tcp_no_delay(true);
-        let made = builder
+        let client = builder
             .build(format!("ws://{to}"))
             .await
             .map_err(|_| Lost)?;
-        let made = Arc::new(made);
-        self.kept.lock().await.insert(to, made.clone());
-        Ok(made)
+        let client = Arc::new(client);
+        self.clients.lock().await.insert(to, client.clone());
+        Ok(client)
     }
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,4 +1,5 @@
-//! Requests between the VMs: JSON-RPC over kept connections, proved by the peer key.
+//! Requests between VMs: JSON-RPC over persistent WebSocket connections, authenticated by the peer
+//! key.
 
 mod links;
 mod server;
@@ -6,5 +7,5 @@
 pub(crate) use links::{Links, Lost, PermitStream};
 pub(crate) use server::{Service, serve};
 
-/// Bytes of one message at most, on both ends: a request body, with room for its frame.
-const MESSAGE: u32 = 16 << 20;
+/// Limit of one message on both ends; larger than the largest request body.
+const MAX_MESSAGE_BYTES: u32 = 16 << 20;
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,6 +1,6 @@
-//! The peer thread: takes requests of the other VMs.
+//! The peer thread: serves requests of the other VMs.
 
-use super::MESSAGE;
+use super::MAX_MESSAGE_BYTES;
 use crate::code::{Code, Failure};
 use crate::config::Book;
 use crate::dispatch::{self, Grant, Key};
@@ -21,10 +21,10 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Frames that may wait between the owner and a connection.
-const FRAMES: usize = 256;
+/// Frames buffered between the owner thread and a connection.
+const MAX_BUFFERED_FRAMES: usize = 256;
 
-/// What the peer thread hands requests to.
+/// State of the request handlers: the peer key, and the threads that requests are passed to.
 #[derive(Debug, Clone)]
 pub(crate) struct Service {
     pub(crate) key: String,
@@ -34,8 +34,8 @@
 }
 
 impl Service {
-    fn check(&self, key: &str) -> Result<(), ErrorObjectOwned> {
-        // Hashes are compared, so that the time taken tells nothing of the key.
+    fn check_key(&self, key: &str) -> Result<(), ErrorObjectOwned> {
+        // Hashes are compared, so that the timing reveals nothing about the key.
         if blake3::hash(key.as_bytes()) == blake3::hash(self.key.as_bytes()) {
             return Ok(());
         }
@@ -49,15 +49,15 @@
     }
 }
 
-/// Serves on `listener` until `stop`.
+/// Serves requests on `listener` until `stop` is cancelled.
 pub(crate) async fn serve(
     listener: std::net::TcpListener,
     service: Service,
     stop: CancellationToken,
 ) {
     let config = ServerConfig::builder()
-        .max_request_body_size(MESSAGE)
-        .max_response_body_size(MESSAGE)
+        .max_request_body_size(MAX_MESSAGE_BYTES)
+        .max_response_body_size(MAX_MESSAGE_BYTES)
         .max_subscriptions_per_connection(8192)
         .max_connections(1024)
         .set_tcp_no_delay(true)
@@ -73,12 +73,12 @@
             return;
         }
     };
-    let handle = server.start(module(service));
+    let handle = server.start(rpc_module(service));
     stop.cancelled().await;
     let _ = handle.stop();
 }
 
-fn module(service: Service) -> RpcModule<Service> {
+fn rpc_module(service: Service) -> RpcModule<Service> {
     let mut module = RpcModule::new(service);
     module
         .register_subscription(
@@ -87,7 +87,7 @@
             "unask",
             |params, pending, service, _| async move { ask(&params, pending, &service).await },
         )
-        .expect("the name is free");
+        .expect("method names are unique");
     module
         .register_subscription(
             "permit",
@@ -95,12 +95,12 @@
             "unpermit",
             |params, pending, service, _| async move { permit(&params, pending, &service).await },
         )
-        .expect("the name is free");
+        .expect("method names are unique");
     module
         .register_async_method("done", |params, service, _| async move {
             let (key, pool, permit, outcome): (String, Key, Permit, policy::Outcome) =
                 params.parse()?;
-            service.check(&key)?;
+            service.check_key(&key)?;
             let command = dispatch::Command::Done {
                 key: pool,
                 permit,
@@ -109,14 +109,14 @@
             let _ = service.dispatch.send_async(command).await;
             Ok::<(), ErrorObjectOwned>(())
         })
-        .expect("the name is free");
+        .expect("method names are unique");
     module
         .register_method("config", |params, service, _| {
             let key: String = params.one()?;
-            service.check(&key)?;
+            service.check_key(&key)?;
             Ok::<Book, ErrorObjectOwned>(service.books.borrow().as_ref().clone())
         })
-        .expect("the name is free");
+        .expect("method names are unique");
     module
 }
 
@@ -132,12 +132,12 @@
             return Ok(());
         }
     };
-    if let Err(error) = service.check(&key) {
+    if let Err(error) = service.check_key(&key) {
         pending.reject(error).await;
         return Ok(());
     }
     let sink = pending.accept().await?;
-    let (frames, mut queue) = mpsc::channel(FRAMES);
+    let (frames, mut queue) = mpsc::channel(MAX_BUFFERED_FRAMES);
     let until = Instant::now() + Duration::from_millis(wait_ms);
     if service
         .owner
@@ -148,9 +148,9 @@
         })
         .is_err()
     {
-        let full = Failure::refused(Code::RingFull, "the owner's queue is full")
+        let queue_full = Failure::refused(Code::RingFull, "the owner's queue is full")
             .retry_after(Duration::from_millis(500));
-        return send(&sink, &Frame::Failed(full)).await;
+        return send(&sink, &Frame::Failed(queue_full)).await;
     }
     loop {
         tokio::select! {
@@ -168,34 +168,34 @@
     pending: PendingSubscriptionSink,
     service: &Service,
 ) -> Result<(), SubscriptionError> {
-    let (key, pool, ask): (String, Key, policy::Request) = match params.parse() {
+    let (key, pool, request): (String, Key, policy::Request) = match params.parse() {
         Ok(parsed) => parsed,
         Err(error) => {
             pending.reject(error).await;
             return Ok(());
         }
     };
-    if let Err(error) = service.check(&key) {
+    if let Err(error) = service.check_key(&key) {
         pending.reject(error).await;
         return Ok(());
     }
     let sink = pending.accept().await?;
-    let (reply, wait) = oneshot::channel::<Result<Grant, Failure>>();
+    let (reply, receiver) = oneshot::channel::<Result<Grant, Failure>>();
     let command = dispatch::Command::Acquire {
         key: pool.clone(),
-        ask: Box::new(ask),
+        ask: Box::new(request),
         reply,
     };
     let _ = service.dispatch.send_async(command).await;
-    let granted = tokio::select! {
-        granted = wait => granted,
+    let answer = tokio::select! {
+        answer = receiver => answer,
         () = sink.closed() => return Ok(()),
     };
-    let Ok(granted) = granted else { return Ok(()) };
-    let sent = send(&sink, &granted).await;
-    if let Ok(grant) = granted {
-        // The owner lets the subscription go when the call is over; if its VM dies, the
-        // connection breaks. Either way the window is free again.
+    let Ok(answer) = answer else { return Ok(()) };
+    let sent = send(&sink, &answer).await;
+    if let Ok(grant) = answer {
+        // The subscription ends when the owner drops it after the call, or when the owner's VM fails.
+        // Either way the slot is released.
         if sent.is_ok() {
             sink.closed().await;
         }
