--- a/benches/control/exchange.rs
+++ b/benches/control/exchange.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::id::{Boot, Epoch, Incarnation, Millicores, Offset, Shard, Vm};
-use vanillatrail::member::{Action, Beat, Counts, Gossip, Sealer, View};
+use vanillatrail::member::{Action, Announcement, Counts, Gossip, Sealer, View};
 
 /// Bytes of the headers of IP and UDP, which count as control traffic too.
 pub const HEADERS: usize = 28;
@@ -30,7 +30,7 @@
     /// What it holds of the others.
     fn view(&mut self, now: Instant) -> View;
     /// Takes in what its VM says of itself.
-    fn local(&mut self, beat: &Beat);
+    fn local(&mut self, beat: &Announcement);
 }
 
 /// The protocol of the library, sealed as on the wire.
@@ -42,7 +42,7 @@
 impl Sealed {
     pub fn new(
         now: Instant,
-        beat: Beat,
+        beat: Announcement,
         incarnation: u64,
         seeds: Vec<SocketAddr>,
         seed: u64,
@@ -56,7 +56,7 @@
     fn seal(&self, actions: Vec<Action>) -> Vec<Datagram> {
         let sent = actions.into_iter().filter_map(|action| match action {
             Action::Send { to, message } => Some((to, self.sealer.seal(&message))),
-            Action::Tell { .. } => None,
+            Action::LogState { .. } => None,
         });
         sent.collect()
     }
@@ -78,15 +78,15 @@
         self.gossip.view(now)
     }
 
-    fn local(&mut self, beat: &Beat) {
-        self.gossip.local(beat);
+    fn local(&mut self, beat: &Announcement) {
+        self.gossip.update_local(beat);
     }
 }
 
 /// A VM of the exchange.
 pub struct Node<P> {
     pub peer: P,
-    pub beat: Beat,
+    pub beat: Announcement,
     pub up: bool,
     /// Stands still until then; its datagrams wait.
     paused: Option<Instant>,
@@ -145,9 +145,9 @@
 }
 
 /// What a VM with its part of `shards` shards among `size` VMs says of itself.
-pub fn beat(index: usize, size: usize, shards: u64) -> Beat {
+pub fn beat(index: usize, size: usize, shards: u64) -> Announcement {
     let held = (0..shards).filter(|shard| *shard % size as u64 == index as u64);
-    Beat {
+    Announcement {
         vm: name(index),
         zone: format!("zone-{}", index % ZONES)
             .parse()
@@ -157,7 +157,7 @@
         cores: Millicores(1000),
         ready: true,
         applied: Offset(1_000_000),
-        held: held
+        owned: held
             .map(|shard| (Shard(shard), Epoch::at(Offset(1_000_000 + shard), 0)))
             .collect(),
     }
@@ -184,7 +184,7 @@
         let now = self.now;
         let node = &mut self.nodes[index];
         node.beat.boot = Boot(node.beat.boot.0 + 1000);
-        node.beat.held.clear();
+        node.beat.owned.clear();
         node.peer = Sealed::new(now, node.beat.clone(), incarnation, seeds, seed);
         node.up = true;
         node.paused = None;
@@ -205,7 +205,7 @@
 }
 
 impl<P: Peer> Exchange<P> {
-    pub fn new(now: Instant, peers: Vec<(Beat, P)>, seed: u64) -> Self {
+    pub fn new(now: Instant, peers: Vec<(Announcement, P)>, seed: u64) -> Self {
         let node = |(beat, peer)| Node {
             peer,
             beat,
@@ -261,7 +261,7 @@
     }
 
     /// Changes what a VM says of itself.
-    pub fn tell(&mut self, index: usize, change: impl FnOnce(&mut Beat)) {
+    pub fn tell(&mut self, index: usize, change: impl FnOnce(&mut Announcement)) {
         let node = &mut self.nodes[index];
         change(&mut node.beat);
         node.peer.local(&node.beat);
--- a/benches/control/heartbeats.rs
+++ b/benches/control/heartbeats.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::id::{Offset, Vm};
-use vanillatrail::member::{Beat, Member, View};
+use vanillatrail::member::{Announcement, Member, View};
 
 /// Time between heartbeats.
 const PERIOD: Duration = Duration::from_millis(200);
@@ -18,8 +18,8 @@
 /// One VM that sends full heartbeats.
 pub struct Heartbeats {
     key: [u8; 32],
-    beat: Beat,
-    heard: BTreeMap<Vm, (Instant, Beat)>,
+    beat: Announcement,
+    heard: BTreeMap<Vm, (Instant, Announcement)>,
     seeds: Vec<SocketAddr>,
     due: Instant,
     /// Members that left the view though they were alive, or not.
@@ -27,7 +27,7 @@
 }
 
 impl Heartbeats {
-    pub fn new(now: Instant, beat: Beat, seeds: Vec<SocketAddr>) -> Self {
+    pub fn new(now: Instant, beat: Announcement, seeds: Vec<SocketAddr>) -> Self {
         Self {
             key: blake3::derive_key("vanillatrail peer key", b"a key for tests only"),
             beat,
@@ -67,7 +67,7 @@
     fn take(&mut self, now: Instant, _from: SocketAddr, datagram: &[u8]) -> Vec<Datagram> {
         let (seal, body) = datagram.split_at(SEAL);
         assert!(blake3::keyed_hash(&self.key, body).as_bytes()[..SEAL] == *seal);
-        let beat: Beat = rmp_serde::from_slice(body).expect("sent by a peer");
+        let beat: Announcement = rmp_serde::from_slice(body).expect("sent by a peer");
         self.heard.insert(beat.vm.clone(), (now, beat));
         Vec::new()
     }
@@ -77,7 +77,7 @@
         let members = heard
             .filter(|(at, _)| now - *at < SILENCE)
             .map(|(_, beat)| {
-                let Beat {
+                let Announcement {
                     vm,
                     zone,
                     boot,
@@ -85,7 +85,7 @@
                     cores,
                     ready,
                     applied,
-                    held,
+                    owned,
                 } = beat.clone();
                 let member = Member {
                     vm: vm.clone(),
@@ -95,7 +95,7 @@
                     cores,
                     ready,
                     applied,
-                    held,
+                    owned,
                     suspect: false,
                 };
                 (vm, member)
@@ -104,12 +104,12 @@
         let newest = members.values().map(|member| member.applied).max();
         View {
             members,
-            leaving: BTreeSet::new(),
+            draining: BTreeSet::new(),
             newest: newest.unwrap_or(Offset(0)),
         }
     }
 
-    fn local(&mut self, beat: &Beat) {
+    fn local(&mut self, beat: &Announcement) {
         self.beat = beat.clone();
     }
 }
--- a/benches/control/measure.rs
+++ b/benches/control/measure.rs
@@ -185,9 +185,12 @@
         let server = format!("engine-{step}").parse().expect("a plain name");
         let now = exchange.now;
         let teller = exchange.nodes.len() / 2;
-        exchange.nodes[teller].peer.gossip.leaving(now, &server);
+        exchange.nodes[teller]
+            .peer
+            .gossip
+            .announce_draining(now, &server);
         let known = exchange.until(LIMIT, |exchange| {
-            exchange.all(|view| view.leaving.contains(&server))
+            exchange.all(|view| view.draining.contains(&server))
         });
         worst = worst.max(known);
     }
--- a/examples/member.rs
+++ b/examples/member.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::id::{Boot, Incarnation, Millicores, Offset};
-use vanillatrail::member::{Action, Beat, Gossip, Message};
+use vanillatrail::member::{Action, Announcement, Gossip, Message};
 
 /// Time between two ticks.
 const TICK: Duration = Duration::from_millis(50);
@@ -24,7 +24,7 @@
         let now = Instant::now();
         let address = |index: u16| SocketAddr::from(([127, 0, 0, 1], 7000 + index));
         let members = (0..count).map(|index| {
-            let beat = Beat {
+            let beat = Announcement {
                 vm: format!("vm-{index}").parse().expect("a name"),
                 zone: format!("zone-{}", index % 3).parse().expect("a name"),
                 boot: Boot(1),
@@ -32,7 +32,7 @@
                 cores: Millicores(1000),
                 ready: true,
                 applied: Offset(0),
-                held: Vec::new(),
+                owned: Vec::new(),
             };
             let seeds = vec![address(0)];
             let gossip = Gossip::new(now, beat, Incarnation(1), seeds, u64::from(index));
--- a/src/command/config.rs
+++ b/src/command/config.rs
@@ -5,7 +5,7 @@
 use crate::code::{Code, Failure};
 use crate::config::{Book, Change, Ruling, SCHEMA, Verdict};
 use crate::id::Offset;
-use crate::journal::CONFIG;
+use crate::journal::CONFIG_STREAM;
 use crate::platform::{Fault, Http, Log};
 use bytes::Bytes;
 use serde_json::{Map, Value, json};
@@ -107,7 +107,7 @@
     let entry = Bytes::from(entry);
     let mut fault = Fault(String::new());
     for _ in 0..ATTEMPTS {
-        match log.append(CONFIG, entry.clone()).await {
+        match log.append(CONFIG_STREAM, entry.clone()).await {
             Ok(offset) => return Ok(offset),
             Err(error) => fault = error,
         }
@@ -179,7 +179,7 @@
     let mut book = Book::default();
     let mut next = Offset(0);
     loop {
-        let page = log.read(CONFIG, next, Duration::ZERO).await;
+        let page = log.read(CONFIG_STREAM, next, Duration::ZERO).await;
         let page = page.map_err(|fault| Failure::refused(Code::Unreachable, fault.to_string()))?;
         book.trimmed(page.first);
         next = next.max(page.first);
--- a/src/config/duty.rs
+++ b/src/config/duty.rs
@@ -4,9 +4,9 @@
 use super::value::Snapshot;
 use crate::clock::wall_ms;
 use crate::id::{Offset, Vm};
-use crate::journal::CONFIG;
+use crate::journal::CONFIG_STREAM;
 use crate::member::View;
-use crate::peer::Links;
+use crate::peer::Connections;
 use crate::platform::{Log, Page};
 use crate::telemetry::event;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 pub(crate) struct Context<L> {
     pub(crate) me: Vm,
     pub(crate) log: L,
-    pub(crate) links: Links,
+    pub(crate) links: Connections,
     pub(crate) view: watch::Receiver<Arc<View>>,
     /// Whether the settings name other VMs.
     pub(crate) has_peers: bool,
@@ -45,7 +45,7 @@
     let mut reached = Instant::now();
     loop {
         let read = tokio::select! {
-            read = context.log.read(CONFIG, book.read_from(), READ_WAIT) => read,
+            read = context.log.read(CONFIG_STREAM, book.read_from(), READ_WAIT) => read,
             () = context.stop.cancelled() => return,
         };
         match read {
@@ -114,7 +114,7 @@
             return;
         };
         if applied > book.applied()
-            && let Ok(other) = self.links.config(address).await
+            && let Ok(other) = self.links.fetch_config(address).await
             && book.adopt(other)
         {
             event!(
@@ -159,7 +159,7 @@
         let first = self
             .view
             .borrow()
-            .first("config/checkpoint")
+            .preferred_member("config/checkpoint")
             .map(|member| member.vm.clone());
         if first.as_ref() != Some(&self.me) {
             return;
@@ -171,7 +171,7 @@
         let Ok(entry) = serde_json::to_vec(&checkpoint) else {
             return;
         };
-        if let Err(fault) = self.log.append(CONFIG, entry.into()).await {
+        if let Err(fault) = self.log.append(CONFIG_STREAM, entry.into()).await {
             event!(warn, "config_checkpoint_failed", reason = fault);
         }
     }
--- a/src/dispatch/client.rs
+++ b/src/dispatch/client.rs
@@ -22,7 +22,7 @@
     pub(crate) me: Vm,
     pub(crate) local: flume::Sender<Command>,
     pub(crate) view: watch::Receiver<Arc<View>>,
-    pub(crate) links: peer::Links,
+    pub(crate) links: peer::Connections,
 }
 
 /// A permit in use. Dropped without [`Lease::done`], it is given back.
@@ -38,7 +38,7 @@
     Local(flume::Sender<Command>),
     // The dispatcher takes the permit back when this subscription ends, so a VM that dies holds
     // no window.
-    Remote(peer::Links, SocketAddr, peer::PermitStream),
+    Remote(peer::Connections, SocketAddr, peer::PermitStream),
 }
 
 impl Client {
@@ -48,11 +48,11 @@
             let first = self
                 .view
                 .borrow()
-                .first(&format!("dispatch/{key}"))
+                .preferred_member(&format!("dispatch/{key}"))
                 .cloned();
             match first {
                 Some(member) if member.vm != self.me => {
-                    match self.links.permit(member.address, key, ask).await {
+                    match self.links.acquire_permit(member.address, key, ask).await {
                         Ok((grant, stream)) => {
                             let links = self.links.clone();
                             let hold = Some(Hold::Remote(links, member.address, stream));
@@ -62,7 +62,7 @@
                                 hold,
                             });
                         }
-                        Err(peer::Lost) => sleep(RETRY).await,
+                        Err(peer::Disconnected) => sleep(RETRY).await,
                     }
                 }
                 _ => return self.acquire_here(key, ask).await,
@@ -101,7 +101,7 @@
                 let _ = local.send_async(command).await;
             }
             Some(Hold::Remote(links, address, stream)) => {
-                let _ = links.done(address, &key, permit, &outcome).await;
+                let _ = links.report_outcome(address, &key, permit, &outcome).await;
                 drop(stream);
             }
             None => {}
--- a/src/dispatch/duty.rs
+++ b/src/dispatch/duty.rs
@@ -91,7 +91,7 @@
         self.servers = servers.cloned().unwrap_or_default();
         // A server that is leaving gets nothing new; the calls that run on it are left to end.
         let names = self.servers.iter().map(|engine| engine.name.clone());
-        let names: Vec<_> = names.filter(|name| !view.leaving.contains(name)).collect();
+        let names: Vec<_> = names.filter(|name| !view.draining.contains(name)).collect();
         self.pool.set_servers(&names);
         self.rates = self.pool.rates();
     }
--- a/src/entry/router.rs
+++ b/src/entry/router.rs
@@ -4,7 +4,7 @@
 use crate::id::Vm;
 use crate::member::View;
 use crate::owner::{Ask, Frame, Position, Request};
-use crate::peer::Links;
+use crate::peer::Connections;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     pub(crate) shards: u64,
     pub(crate) view: watch::Receiver<Arc<View>>,
     pub(crate) owner: flume::Sender<Ask>,
-    pub(crate) links: Links,
+    pub(crate) links: Connections,
 }
 
 enum Place {
@@ -136,7 +136,7 @@
             .saturating_sub(MARGIN);
         let asked = self
             .links
-            .ask(to, &resumed(request, tries.passed), wait)
+            .request(to, &resumed(request, tries.passed), wait)
             .await;
         let Ok(mut stream) = asked else {
             tries.lost = true;
--- a/src/gateway/front/housekeeping.rs
+++ b/src/gateway/front/housekeeping.rs
@@ -4,7 +4,7 @@
 use crate::gateway::tokens::handover::Reason;
 use crate::gateway::world::directory::Change;
 use crate::gateway::world::state::World;
-use crate::member::Beat;
+use crate::member::Announcement;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
 }
 
 /// Keeps house until the process ends.
-pub(super) async fn keep(gateway: Rc<Gateway>, beats: Arc<watch::Sender<Beat>>) {
+pub(super) async fn keep(gateway: Rc<Gateway>, beats: Arc<watch::Sender<Announcement>>) {
     let mut tick = interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut swept = Instant::now();
@@ -69,8 +69,8 @@
         let (ready, held) = (gateway.takes_part(), gateway.keeper.claims());
         let applied = gateway.applied();
         beats.send_if_modified(|beat| {
-            let changed = (beat.ready, beat.applied) != (ready, applied) || beat.held != held;
-            (beat.ready, beat.applied, beat.held) = (ready, applied, held);
+            let changed = (beat.ready, beat.applied) != (ready, applied) || beat.owned != held;
+            (beat.ready, beat.applied, beat.owned) = (ready, applied, held);
             changed
         });
         gateway.tell_orphans().await;
--- a/src/gateway/front/mod.rs
+++ b/src/gateway/front/mod.rs
@@ -27,7 +27,7 @@
 use crate::gateway::world::{feed, snapshot, sources};
 use crate::gateway::{Gateway, conversation, peers};
 use crate::id::{Boot, Offset};
-use crate::member::{self, Beat, Introduction, List, View};
+use crate::member::{self, Announcement, Introduction, List, View};
 use crate::settings;
 use crate::supervisor::Supervisor;
 use crate::telemetry::event;
@@ -109,7 +109,7 @@
 struct Outside {
     world: watch::Receiver<World>,
     view: watch::Receiver<Arc<View>>,
-    beats: Arc<watch::Sender<Beat>>,
+    beats: Arc<watch::Sender<Announcement>>,
     contacts: flume::Sender<List>,
     introduction: watch::Receiver<Option<Introduction>>,
     introducing: watch::Sender<bool>,
@@ -123,8 +123,8 @@
     Ok(socket)
 }
 
-fn first_beat(settings: &settings::Gateway) -> Beat {
-    Beat {
+fn first_beat(settings: &settings::Gateway) -> Announcement {
+    Announcement {
         vm: settings.vm.clone(),
         zone: settings.zone.clone(),
         boot: Boot(rand::random()),
@@ -132,7 +132,7 @@
         cores: settings.millicores(),
         ready: false,
         applied: Offset(0),
-        held: Vec::new(),
+        owned: Vec::new(),
     }
 }
 
@@ -142,7 +142,7 @@
     settings: &settings::Gateway,
     views: watch::Sender<Arc<View>>,
     introduction: watch::Sender<Option<Introduction>>,
-    beats: &Arc<watch::Sender<Beat>>,
+    beats: &Arc<watch::Sender<Announcement>>,
 ) -> Result<flume::Sender<List>, Failure> {
     let address = settings.listen.peers;
     let socket = bound(address)?;
@@ -161,11 +161,11 @@
             socket: socket.try_clone().expect("the system gives a handle"),
             key: key.clone(),
             seeds: seeds.clone(),
-            listed: listed.clone(),
+            vm_lists: listed.clone(),
             local: beats.subscribe(),
-            published: views.clone(),
+            view: views.clone(),
             introduction: introduction.clone(),
-            leaving: leaving.clone(),
+            draining: leaving.clone(),
             stop: CancellationToken::new(),
         })
     });
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -6,7 +6,7 @@
 use crate::gateway::Gateway;
 use crate::gateway::limits::count::Take;
 use crate::id::Vm;
-use crate::member::{DATAGRAM, Sealer};
+use crate::member::{MAX_DATAGRAM_BYTES, Sealer};
 use crate::policy::allowance::{Entry, Reservation};
 use crate::policy::dispatch::{Outcome, Request};
 use crate::telemetry::event;
@@ -329,7 +329,7 @@
 
 /// Takes datagrams in until the process ends.
 pub(crate) async fn receive(gateway: Rc<Gateway>) {
-    let mut buffer = vec![0; DATAGRAM + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let Ok((size, from)) = gateway.peers.socket.recv_from(&mut buffer).await else {
             continue;
--- a/src/gateway/tokens/handover.rs
+++ b/src/gateway/tokens/handover.rs
@@ -171,7 +171,7 @@
             let view = self.view.borrow();
             let others = view.members.values();
             let others = others.filter(|member| member.vm != self.settings.vm);
-            let mut claims = others.flat_map(|member| &member.held);
+            let mut claims = others.flat_map(|member| &member.owned);
             let epoch = part.hold.get().map_or(0, |hold| hold.epoch);
             if claims.any(|(shard, claimed)| shard.0 == number && claimed.0 > epoch) {
                 self.keeper.shut_out(number, &part, epoch);
--- a/src/gateway/world/relay/answer.rs
+++ b/src/gateway/world/relay/answer.rs
@@ -4,7 +4,7 @@
 use super::{MANY, Relay, TOLD};
 use crate::gateway::world::directory::Change;
 use crate::id::Offset;
-use crate::member::DATAGRAM;
+use crate::member::MAX_DATAGRAM_BYTES;
 use crate::telemetry::event;
 use std::net::SocketAddr;
 use tokio::time::Instant;
@@ -15,7 +15,7 @@
 impl Relay {
     /// Takes datagrams in until the process ends.
     pub(in crate::gateway::world) async fn receive(&self) {
-        let mut buffer = vec![0; DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((size, from)) = self.socket.recv_from(&mut buffer).await else {
                 continue;
@@ -50,9 +50,9 @@
     /// What came after an offset, as much as fits a datagram.
     fn news(&self, since: Offset) -> News {
         let world = self.worlds.borrow();
-        let mut room = DATAGRAM - ENVELOPE;
+        let mut room = MAX_DATAGRAM_BYTES - ENVELOPE;
         let fits = |change: &Change| {
-            let size = rmp_serde::to_vec(change).map_or(DATAGRAM, |bytes| bytes.len());
+            let size = rmp_serde::to_vec(change).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len());
             let left = room.checked_sub(size);
             room = left.unwrap_or(0);
             left.is_some()
--- a/src/gateway/world/snapshot.rs
+++ b/src/gateway/world/snapshot.rs
@@ -69,7 +69,7 @@
         let first = gateway
             .view
             .borrow()
-            .first("snapshot")
+            .preferred_member("snapshot")
             .map(|member| member.vm.clone());
         if first.as_ref() != Some(&gateway.settings.vm) {
             written = None;
--- a/src/journal/duty.rs
+++ b/src/journal/duty.rs
@@ -34,31 +34,31 @@
         stream: u64,
         entries: Vec<(Offset, Vec<Record>)>,
         /// When the read was sent: the page reflects the stream at that time or later.
-        asked: Instant,
+        requested_at: Instant,
     },
     /// The log has trimmed entries before this offset that the owner thread has not read.
     Trimmed { stream: u64, first: Offset },
 }
 
 /// Provides the number of members that share the append rate of the log.
-pub(crate) trait Share: Clone + 'static {
+pub(crate) trait MemberCount: Clone + 'static {
     fn members(&self) -> usize;
 }
 
 /// Runs until the owner thread drops its end of `commands`.
-pub(crate) async fn run<L: Log, S: Share>(
+pub(crate) async fn run<L: Log, S: MemberCount>(
     log: L,
     commands: flume::Receiver<Command>,
     events: flume::Sender<Event>,
-    pace: Pace<S>,
+    rate: Rate<S>,
     metrics: Metrics,
 ) {
-    let mut writers: Vec<Option<flume::Sender<Record>>> = vec![None; pace.streams];
+    let mut writers: Vec<Option<flume::Sender<Record>>> = vec![None; rate.streams];
     let mut readers: BTreeMap<u64, tokio::task::JoinHandle<()>> = BTreeMap::new();
     while let Ok(command) = commands.recv_async().await {
         match command {
             Command::Append { stream, record } => {
-                let writer = writer(&mut writers, stream, &log, &pace, &metrics);
+                let writer = writer(&mut writers, stream, &log, &rate, &metrics);
                 let _ = writer.send_async(*record).await;
             }
             Command::Follow { stream } => {
@@ -74,48 +74,48 @@
 
 /// This VM's share of the log's append rate, which is divided evenly among members and streams.
 #[derive(Debug, Clone)]
-pub(crate) struct Pace<S> {
+pub(crate) struct Rate<S> {
     pub(crate) appends_per_second: u64,
     pub(crate) streams: usize,
-    pub(crate) share: S,
+    pub(crate) members: S,
 }
 
-impl<S: Share> Pace<S> {
+impl<S: MemberCount> Rate<S> {
     fn interval(&self) -> Duration {
-        let divisor = self.share.members().max(1) * self.streams;
+        let divisor = self.members.members().max(1) * self.streams;
         Duration::from_secs(divisor as u64) / u32::try_from(self.appends_per_second).unwrap_or(1)
     }
 }
 
-fn writer<L: Log, S: Share>(
+fn writer<L: Log, S: MemberCount>(
     writers: &mut [Option<flume::Sender<Record>>],
     stream: u64,
     log: &L,
-    pace: &Pace<S>,
+    rate: &Rate<S>,
     metrics: &Metrics,
 ) -> flume::Sender<Record> {
     let writer = &mut writers[usize::try_from(stream).expect("a stream number is small")];
     let start = || {
         let (sender, receiver) = flume::bounded(MAX_BATCH_RECORDS * 4);
-        let pace = pace.clone();
-        tokio::task::spawn_local(write(log.clone(), stream, receiver, pace, metrics.clone()));
+        let rate = rate.clone();
+        tokio::task::spawn_local(write(log.clone(), stream, receiver, rate, metrics.clone()));
         sender
     };
     writer.get_or_insert_with(start).clone()
 }
 
-async fn write<L: Log, S: Share>(
+async fn write<L: Log, S: MemberCount>(
     log: L,
     stream: u64,
     records: flume::Receiver<Record>,
-    pace: Pace<S>,
+    rate: Rate<S>,
     metrics: Metrics,
 ) {
     let name = format!("journal-{stream}");
     let mut next = Instant::now();
     while let Ok(first) = records.recv_async().await {
         // Allows bursts, but on average no more than this VM's share of the append rate.
-        let interval = pace.interval();
+        let interval = rate.interval();
         sleep_until(next - interval * BURST_APPENDS).await;
         next = next.max(Instant::now()) + interval;
         let batch: Vec<Record> = std::iter::once(first)
@@ -151,7 +151,7 @@
     let name = format!("journal-{stream}");
     let mut next = Offset(0);
     loop {
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let page = match log.read(&name, next, LONG_POLL_TIMEOUT).await {
             Ok(page) => page,
             Err(error) => {
@@ -184,7 +184,7 @@
         let page = Event::Page {
             stream,
             entries,
-            asked,
+            requested_at,
         };
         if events.send_async(page).await.is_err() {
             return;
@@ -207,9 +207,9 @@
 
 /// Sequence numbers of this process's records, counted per stream.
 #[derive(Debug, Default)]
-pub(crate) struct Numbers(Vec<u64>);
+pub(crate) struct Sequences(Vec<u64>);
 
-impl Numbers {
+impl Sequences {
     pub(crate) fn new(streams: u64) -> Self {
         Self(vec![
             0;
--- a/src/journal/mod.rs
+++ b/src/journal/mod.rs
@@ -5,7 +5,7 @@
 mod record;
 mod stream;
 
-pub use record::{Body, Id, Record, Undecodable, decode, encode};
+pub use record::{Body, DecodeError, Id, Record, decode, encode};
 
-pub(crate) use duty::{Command, Event, Numbers, Pace, Share, run};
-pub(crate) use stream::{CONFIG, stream_of};
+pub(crate) use duty::{Command, Event, MemberCount, Rate, Sequences, run};
+pub(crate) use stream::{CONFIG_STREAM, stream_of};
--- a/src/journal/record.rs
+++ b/src/journal/record.rs
@@ -187,15 +187,15 @@
 
 /// The bytes are not a batch of records that this build can read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Undecodable(String);
+pub struct DecodeError(String);
 
-impl fmt::Display for Undecodable {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "undecodable batch: {}", self.0)
     }
 }
 
-impl std::error::Error for Undecodable {}
+impl std::error::Error for DecodeError {}
 
 /// Encodes a batch of records as one log entry.
 ///
@@ -221,12 +221,12 @@
 ///
 /// # Errors
 /// If the version is unknown or the bytes are malformed.
-pub fn decode(bytes: &[u8]) -> Result<Vec<Record>, Undecodable> {
+pub fn decode(bytes: &[u8]) -> Result<Vec<Record>, DecodeError> {
     match bytes.split_first() {
         Some((&VERSION, rest)) => {
-            rmp_serde::from_slice(rest).map_err(|error| Undecodable(error.to_string()))
+            rmp_serde::from_slice(rest).map_err(|error| DecodeError(error.to_string()))
         }
-        Some((version, _)) => Err(Undecodable(format!("version {version}"))),
-        None => Err(Undecodable("empty".to_owned())),
+        Some((version, _)) => Err(DecodeError(format!("version {version}"))),
+        None => Err(DecodeError("empty".to_owned())),
     }
 }
--- a/src/member/duty.rs
+++ b/src/member/duty.rs
@@ -4,8 +4,8 @@
 use super::gossip::{Action, Gossip};
 use super::introduction::Introduction;
 use super::list::List;
-use super::view::{Beat, View};
-use super::wire::{DATAGRAM, Sealer};
+use super::view::{Announcement, View};
+use super::wire::{MAX_DATAGRAM_BYTES, Sealer};
 use crate::clock;
 use crate::id::{Incarnation, Server};
 use crate::telemetry::event;
@@ -26,14 +26,14 @@
     pub(crate) key: String,
     pub(crate) seeds: Vec<SocketAddr>,
     /// VM lists read from the platform or the store.
-    pub(crate) listed: flume::Receiver<List>,
+    pub(crate) vm_lists: flume::Receiver<List>,
     /// This VM's own state, updated by other threads.
-    pub(crate) local: watch::Receiver<Beat>,
-    pub(crate) published: watch::Sender<Arc<View>>,
+    pub(crate) local: watch::Receiver<Announcement>,
+    pub(crate) view: watch::Sender<Arc<View>>,
     /// This VM's introduction record, for VMs that start later.
     pub(crate) introduction: watch::Sender<Option<Introduction>>,
     /// Backend servers that other threads report as draining.
-    pub(crate) leaving: flume::Receiver<Server>,
+    pub(crate) draining: flume::Receiver<Server>,
     pub(crate) stop: CancellationToken,
 }
 
@@ -44,19 +44,25 @@
         key,
         seeds,
         mut local,
-        published,
+        view,
         introduction,
-        listed,
-        leaving,
+        vm_lists,
+        draining,
         stop,
     } = setup;
     let socket = UdpSocket::from_std(socket).expect("the socket is bound and non-blocking");
     let sealer = Sealer::new(&key);
-    let beat = local.borrow_and_update().clone();
+    let announcement = local.borrow_and_update().clone();
     let now = Instant::now();
-    let mut gossip = Gossip::new(now, beat, first_incarnation(), seeds, rand::random());
+    let mut gossip = Gossip::new(
+        now,
+        announcement,
+        first_incarnation(),
+        seeds,
+        rand::random(),
+    );
     // One byte larger than the limit, so that the size of an oversized datagram shows it.
-    let mut buffer = vec![0; DATAGRAM + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     let mut state_log = StateLog::default();
     let mut last_view = now;
     let mut tick = interval(TICK_INTERVAL);
@@ -65,16 +71,16 @@
         tokio::select! {
             _ = tick.tick() => {
                 if local.has_changed().unwrap_or(false) {
-                    gossip.local(&local.borrow_and_update());
+                    gossip.update_local(&local.borrow_and_update());
                 }
                 let actions = gossip.tick(Instant::now());
                 perform(&socket, &sealer, &mut state_log, actions).await;
                 state_log.flush(Instant::now());
                 // Not on every datagram: after a network partition hundreds of them change the view.
-                let members = published.borrow().members.len();
-                if gossip.changed() && last_view.elapsed() >= View::pause(members) {
+                let members = view.borrow().members.len();
+                if gossip.view_changed() && last_view.elapsed() >= View::rebuild_interval(members) {
                     last_view = Instant::now();
-                    published.send_replace(Arc::new(gossip.view(last_view)));
+                    view.send_replace(Arc::new(gossip.view(last_view)));
                     introduction.send_replace(Some(gossip.introduction()));
                 }
             }
@@ -87,18 +93,18 @@
                     event!(warn, "datagram_refused", from = from, bytes = size);
                 }
             }
-            list = listed.recv_async() => {
+            list = vm_lists.recv_async() => {
                 let Ok(list) = list else { continue };
-                gossip.contact(list.vms);
-                let actions = gossip.introduce(Instant::now(), &list.introductions);
+                gossip.add_contacts(list.vms);
+                let actions = gossip.apply_introductions(Instant::now(), &list.introductions);
                 perform(&socket, &sealer, &mut state_log, actions).await;
-                for server in &list.leaving {
-                    gossip.leaving(Instant::now(), server);
+                for server in &list.draining {
+                    gossip.announce_draining(Instant::now(), server);
                 }
             }
-            server = leaving.recv_async() => {
+            server = draining.recv_async() => {
                 let Ok(server) = server else { continue };
-                gossip.leaving(Instant::now(), &server);
+                gossip.announce_draining(Instant::now(), &server);
             }
             () = stop.cancelled() => {
                 let actions = gossip.leave(Instant::now());
@@ -120,7 +126,7 @@
             Action::Send { to, message } => {
                 let _ = socket.send_to(&sealer.seal(&message), to).await;
             }
-            Action::Tell { vm, state } => state_log.log(Instant::now(), &vm, state),
+            Action::LogState { vm, state } => state_log.log(Instant::now(), &vm, state),
         }
     }
 }
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -11,8 +11,10 @@
 use super::queue::{Queue, Subject};
 use super::roster::{Change, Record, Roster, Status};
 use super::tick::BYTE_BUDGET;
-use super::view::{Beat, Member, View};
-use super::wire::{DATAGRAM, ENVELOPE_BYTES, Header, Kind, Message, News, Profile, State};
+use super::view::{Announcement, Member, View};
+use super::wire::{
+    ENVELOPE_BYTES, Header, Kind, MAX_DATAGRAM_BYTES, Message, Profile, State, Update,
+};
 use crate::id::{Epoch, Incarnation, Offset, Server, Shard, Vm};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -28,11 +30,11 @@
     Send {
         /// Address of the receiving member.
         to: SocketAddr,
-        /// Message to seal; fits [`DATAGRAM`] with its seal.
+        /// Message to seal; fits [`MAX_DATAGRAM_BYTES`] with its seal.
         message: Message,
     },
     /// Log a member's new state.
-    Tell {
+    LogState {
         /// Member whose state changed.
         vm: Vm,
         /// State after the change.
@@ -57,9 +59,9 @@
 /// use std::time::Duration;
 /// use tokio::time::Instant;
 /// use vanillatrail::id::{Boot, Incarnation, Millicores, Offset};
-/// use vanillatrail::member::{Action, Beat, Gossip};
+/// use vanillatrail::member::{Action, Announcement, Gossip};
 ///
-/// let beat = |vm: &str, port| Beat {
+/// let announcement = |vm: &str, port| Announcement {
 ///     vm: vm.parse().unwrap(),
 ///     zone: "zone-a".parse().unwrap(),
 ///     boot: Boot(1),
@@ -67,10 +69,10 @@
 ///     cores: Millicores(1000),
 ///     ready: true,
 ///     applied: Offset(0),
-///     held: Vec::new(),
+///     owned: Vec::new(),
 /// };
 /// let mut now = Instant::now();
-/// let (a, b) = (beat("vm-a", 1), beat("vm-b", 2));
+/// let (a, b) = (announcement("vm-a", 1), announcement("vm-b", 2));
 /// let mut one = Gossip::new(now, a.clone(), Incarnation(1), vec![b.address], 7);
 /// let mut two = Gossip::new(now, b.clone(), Incarnation(1), vec![a.address], 8);
 /// for _ in 0..20 {
@@ -128,7 +130,7 @@
     #[must_use]
     pub fn new(
         now: Instant,
-        local: Beat,
+        local: Announcement,
         incarnation: Incarnation,
         seeds: Vec<SocketAddr>,
         seed: u64,
@@ -181,27 +183,32 @@
         };
         gossip.roster.records.insert(me.clone(), record);
         gossip.queue.push(Subject::Profile(me));
-        gossip.local(&local);
+        gossip.update_local(&local);
         gossip
     }
 
     /// Updates this VM's own state and queues the changes for gossip.
-    pub fn local(&mut self, beat: &Beat) {
+    pub fn update_local(&mut self, announcement: &Announcement) {
         let record = self.own_record();
         let profile = &mut record.profile;
-        let announced = (&beat.zone, beat.boot, beat.address, beat.ready);
+        let announced = (
+            &announcement.zone,
+            announcement.boot,
+            announcement.address,
+            announcement.ready,
+        );
         if announced != (&profile.zone, profile.boot, profile.address, profile.ready) {
-            profile.zone = beat.zone.clone();
-            profile.boot = beat.boot;
-            profile.address = beat.address;
-            profile.ready = beat.ready;
+            profile.zone = announcement.zone.clone();
+            profile.boot = announcement.boot;
+            profile.address = announcement.address;
+            profile.ready = announcement.ready;
             record.incarnation = Incarnation(record.incarnation.0 + 1);
             record.profile.version = record.incarnation;
             self.queue.push(Subject::Profile(self.me.clone()));
             self.view_changed = true;
         }
-        self.set_applied(beat.applied);
-        self.update_claims(beat);
+        self.set_applied(announcement.applied);
+        self.update_claims(announcement);
     }
 
     fn set_applied(&mut self, applied: Offset) {
@@ -214,8 +221,8 @@
         self.raise_newest_offset(applied);
     }
 
-    fn update_claims(&mut self, beat: &Beat) {
-        let owned: BTreeMap<Shard, Epoch> = beat.held.iter().copied().collect();
+    fn update_claims(&mut self, announcement: &Announcement) {
+        let owned: BTreeMap<Shard, Epoch> = announcement.owned.iter().copied().collect();
         if owned == self.owned_shards {
             return;
         }
@@ -223,39 +230,46 @@
         self.view_changed = true;
         for (shard, epoch) in previous {
             if self.owned_shards.get(&shard) != Some(&epoch) {
-                self.gossip_claim(beat, shard, epoch, true);
+                self.gossip_claim(announcement, shard, epoch, true);
             }
         }
         for (shard, epoch) in self.owned_shards.clone() {
-            self.gossip_claim(beat, shard, epoch, false);
+            self.gossip_claim(announcement, shard, epoch, false);
         }
     }
 
-    fn gossip_claim(&mut self, beat: &Beat, shard: Shard, epoch: Epoch, released: bool) {
+    fn gossip_claim(
+        &mut self,
+        announcement: &Announcement,
+        shard: Shard,
+        epoch: Epoch,
+        released: bool,
+    ) {
         let claim = OwnerClaim {
             epoch,
-            vm: beat.vm.clone(),
-            boot: beat.boot,
+            vm: announcement.vm.clone(),
+            boot: announcement.boot,
             released,
         };
         if matches!(
             self.shared.apply_claim(shard, claim),
             Change::Joined | Change::Status
         ) {
-            self.queue.push(Subject::Claim(beat.vm.clone(), shard));
+            self.queue
+                .push(Subject::Claim(announcement.vm.clone(), shard));
         }
     }
 
     /// Adds addresses where members may be found. They are contacted at a low rate, and an address
     /// enters the view only once a member introduces itself there.
-    pub fn contact(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
+    pub fn add_contacts(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
         self.contact_addresses.extend(addresses);
     }
 
     /// Announces to the members that a backend server is draining.
-    pub fn leaving(&mut self, now: Instant, server: &Server) {
+    pub fn announce_draining(&mut self, now: Instant, server: &Server) {
         if self.shared.announce_draining(now, server) {
-            self.queue.push(Subject::Leaving(server.clone()));
+            self.queue.push(Subject::Draining(server.clone()));
             self.view_changed = true;
         }
     }
@@ -269,17 +283,17 @@
             state: State::Left,
             since: now,
         };
-        let news = vec![record.status_update()];
+        let updates = vec![record.status_update()];
         let to =
             self.random_members(usize::try_from(self.max_transmissions()).unwrap_or(usize::MAX));
         to.into_iter()
-            .map(|(_, to)| self.send_action(to, Kind::Gossip, news.clone()))
+            .map(|(_, to)| self.send_action(to, Kind::Gossip, updates.clone()))
             .collect()
     }
 
     /// Whether the view has changed since the last call of [`Self::view`].
     #[must_use]
-    pub fn changed(&self) -> bool {
+    pub fn view_changed(&self) -> bool {
         self.view_changed
     }
 
@@ -297,11 +311,11 @@
                 && member.boot == claim.boot
                 && !claim.released
             {
-                member.held.push((*shard, claim.epoch));
+                member.owned.push((*shard, claim.epoch));
             }
         }
         if let Some(me) = members.get_mut(&self.me) {
-            me.held = self
+            me.owned = self
                 .owned_shards
                 .iter()
                 .map(|(shard, epoch)| (*shard, *epoch))
@@ -309,7 +323,7 @@
         }
         View {
             members,
-            leaving: self.draining_servers.clone(),
+            draining: self.draining_servers.clone(),
             newest: self.shared.newest_offset,
         }
     }
@@ -343,37 +357,37 @@
     }
 
     /// Queued updates to piggyback on a datagram, as many as its size and the byte budget allow.
-    pub(super) fn pack_updates(&mut self, now: Instant) -> Vec<News> {
+    pub(super) fn pack_updates(&mut self, now: Instant) -> Vec<Update> {
         let limit = self.max_transmissions();
-        let mut free_bytes = DATAGRAM - ENVELOPE_BYTES;
+        let mut free_bytes = MAX_DATAGRAM_BYTES - ENVELOPE_BYTES;
         let mut packed = Vec::new();
         for subject in self.queue.by_priority() {
-            let Some(news) = self.update_about(now, &subject) else {
+            let Some(update) = self.update_about(now, &subject) else {
                 self.queue.remove(&subject);
                 continue;
             };
-            let size = news.size_after(&packed);
+            let size = update.size_after(&packed);
             if size > free_bytes || !self.try_spend_bytes(size) {
                 break;
             }
             free_bytes -= size;
-            News::push_merged(&mut packed, news);
+            Update::push_merged(&mut packed, update);
             self.queue.count_transmission(&subject, limit);
         }
         packed
     }
 
-    fn update_about(&self, now: Instant, subject: &Subject) -> Option<News> {
+    fn update_about(&self, now: Instant, subject: &Subject) -> Option<Update> {
         match subject {
             Subject::Status(vm) => Some(self.roster.records.get(vm)?.status_update()),
             Subject::Profile(vm) => Some(self.roster.records.get(vm)?.profile_update()),
             Subject::Applied(vm) => {
                 let applied = self.roster.records.get(vm)?.applied;
                 let vm = vm.clone();
-                Some(News::Applied { vm, applied })
+                Some(Update::Applied { vm, applied })
             }
             Subject::Claim(vm, shard) => self.shared.claim_update(vm, *shard),
-            Subject::Leaving(server) => self.shared.draining_update(now, server),
+            Subject::Draining(server) => self.shared.draining_update(now, server),
         }
     }
 
@@ -400,7 +414,7 @@
             .collect()
     }
 
-    pub(super) fn send_action(&self, to: SocketAddr, kind: Kind, news: Vec<News>) -> Action {
+    pub(super) fn send_action(&self, to: SocketAddr, kind: Kind, updates: Vec<Update>) -> Action {
         let me = &self.roster.records[&self.me];
         let from = Header {
             vm: self.me.clone(),
@@ -408,7 +422,11 @@
             applied: me.applied,
             newest: self.shared.newest_offset,
         };
-        let message = Message { from, kind, news };
+        let message = Message {
+            from,
+            kind,
+            updates,
+        };
         Action::Send { to, message }
     }
 
@@ -433,7 +451,7 @@
         cores: record.profile.cores,
         ready: record.profile.ready,
         applied: record.applied,
-        held: Vec::new(),
+        owned: Vec::new(),
         suspect: record.status.state == State::Suspect,
     }
 }
--- a/src/member/hints.rs
+++ b/src/member/hints.rs
@@ -2,7 +2,7 @@
 //! newest configuration offset.
 
 use super::roster::Change;
-use super::wire::{Claim, News};
+use super::wire::{Claim, Update};
 use crate::id::{Boot, Epoch, Offset, Server, Shard, Vm};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -24,13 +24,13 @@
 }
 
 impl OwnerClaim {
-    pub(super) fn to_update(&self, shard: Shard) -> News {
+    pub(super) fn to_update(&self, shard: Shard) -> Update {
         let claim = Claim {
             shard,
             epoch: self.epoch,
             released: self.released,
         };
-        News::Claims {
+        Update::Claims {
             vm: self.vm.clone(),
             boot: self.boot,
             claims: vec![claim],
@@ -70,7 +70,7 @@
     }
 
     /// The claim of a shard, if `vm` still has the newest one.
-    pub(super) fn claim_update(&self, vm: &Vm, shard: Shard) -> Option<News> {
+    pub(super) fn claim_update(&self, vm: &Vm, shard: Shard) -> Option<Update> {
         let claim = self.shards.get(&shard).filter(|claim| claim.vm == *vm)?;
         Some(claim.to_update(shard))
     }
@@ -120,10 +120,10 @@
     }
 
     /// The notice of a server, if it has not expired.
-    pub(super) fn draining_update(&self, now: Instant, server: &Server) -> Option<News> {
+    pub(super) fn draining_update(&self, now: Instant, server: &Server) -> Option<Update> {
         let notice = self.draining.get(server)?;
         let seconds = notice.expires_at.checked_duration_since(now)?.as_secs();
-        (seconds > 0).then(|| News::Leaving {
+        (seconds > 0).then(|| Update::Draining {
             server: server.clone(),
             serial: notice.serial,
             seconds,
--- a/src/member/introduction.rs
+++ b/src/member/introduction.rs
@@ -33,7 +33,11 @@
 
     /// Merges the introduction records of other VMs, skipping profiles that are not newer than the
     /// known ones. They are not gossiped, since every VM reads them.
-    pub fn introduce(&mut self, now: Instant, introductions: &[Introduction]) -> Vec<Action> {
+    pub fn apply_introductions(
+        &mut self,
+        now: Instant,
+        introductions: &[Introduction],
+    ) -> Vec<Action> {
         let mut actions = Vec::new();
         for Introduction {
             profile,
--- a/src/member/learn.rs
+++ b/src/member/learn.rs
@@ -4,7 +4,7 @@
 use super::hints::OwnerClaim;
 use super::queue::Subject;
 use super::roster::{Change, Report, Status};
-use super::wire::{Header, Kind, Message, News, State};
+use super::wire::{Header, Kind, Message, State, Update};
 use crate::id::{Incarnation, Offset, Vm};
 use std::net::SocketAddr;
 use tokio::time::Instant;
@@ -15,23 +15,23 @@
         let Message {
             from: header,
             kind,
-            news,
+            updates,
         } = message;
         if header.vm == self.me || self.left {
             return Vec::new();
         }
         let mut actions = Vec::new();
-        for news in &news {
-            if matches!(news, News::Profile { profile, .. } if profile.vm == header.vm) {
-                self.apply_update(now, news, true, &mut actions);
+        for update in &updates {
+            if matches!(update, Update::Profile { profile, .. } if profile.vm == header.vm) {
+                self.apply_update(now, update, true, &mut actions);
             }
         }
         // A member that is considered gone may be cut off itself and suspect everybody else, so
         // its updates are ignored until it has refuted that.
         if self.apply_header(now, from, &header, &mut actions) {
             let gossiped = !matches!(kind, Kind::Differ { .. } | Kind::Contents);
-            for news in &news {
-                self.apply_update(now, news, gossiped, &mut actions);
+            for update in &updates {
+                self.apply_update(now, update, gossiped, &mut actions);
             }
         }
         self.reply(now, from, &header, kind, &mut actions);
@@ -49,11 +49,11 @@
         match kind {
             Kind::Ping { number, to } => {
                 if to.is_none_or(|to| to == self.me) {
-                    let mut news = self.pack_updates(now);
+                    let mut updates = self.pack_updates(now);
                     if number == 0 {
-                        news = vec![self.own_record().profile_update()];
+                        updates = vec![self.own_record().profile_update()];
                     }
-                    actions.push(self.send_action(from, Kind::Ack { number }, news));
+                    actions.push(self.send_action(from, Kind::Ack { number }, updates));
                 }
             }
             Kind::Ack { number: 0 } => actions.extend(self.start_sync(now, from)),
@@ -68,8 +68,8 @@
             Kind::Differ { members, claims } => {
                 actions.extend(self.answer_difference(now, from, &members, &claims));
             }
-            Kind::Doubt { incarnation } => {
-                self.handle_refute_request(from, header, incarnation, actions)
+            Kind::Suspicion { incarnation } => {
+                self.handle_suspicion(from, header, incarnation, actions);
             }
         }
     }
@@ -94,7 +94,7 @@
         self.handle_change(now, &header.vm, change, false, actions);
         let Some(record) = self.roster.records.get_mut(&header.vm) else {
             let incarnation = Incarnation(0);
-            actions.push(self.send_action(from, Kind::Doubt { incarnation }, Vec::new()));
+            actions.push(self.send_action(from, Kind::Suspicion { incarnation }, Vec::new()));
             return false;
         };
         if record.status.state == State::Suspect && record.incarnation == header.incarnation {
@@ -111,12 +111,12 @@
     fn apply_update(
         &mut self,
         now: Instant,
-        news: &News,
+        update: &Update,
         gossiped: bool,
         actions: &mut Vec<Action>,
     ) {
-        match news {
-            News::Profile {
+        match update {
+            Update::Profile {
                 profile,
                 incarnation,
                 state,
@@ -131,7 +131,7 @@
                 self.apply_report(now, report, gossiped, actions);
                 self.apply_offset(&profile.vm, *applied);
             }
-            News::Status {
+            Update::Status {
                 vm,
                 incarnation,
                 state,
@@ -144,7 +144,7 @@
                 };
                 self.apply_report(now, report, gossiped, actions);
             }
-            News::Applied { vm, applied } => {
+            Update::Applied { vm, applied } => {
                 let subject = Subject::Applied(vm.clone());
                 if self.apply_offset(vm, *applied) {
                     self.queue.push(subject);
@@ -153,7 +153,7 @@
                         .count_transmission(&subject, self.max_transmissions());
                 }
             }
-            News::Claims { vm, boot, claims } => {
+            Update::Claims { vm, boot, claims } => {
                 for claim in claims {
                     let owner_claim = OwnerClaim {
                         epoch: claim.epoch,
@@ -165,13 +165,13 @@
                     self.gossip_change(change, Subject::Claim(vm.clone(), claim.shard), gossiped);
                 }
             }
-            News::Leaving {
+            Update::Draining {
                 server,
                 serial,
                 seconds,
             } => {
                 let change = self.shared.apply_draining(now, server, *serial, *seconds);
-                self.gossip_change(change, Subject::Leaving(server.clone()), gossiped);
+                self.gossip_change(change, Subject::Draining(server.clone()), gossiped);
             }
         }
     }
@@ -237,7 +237,7 @@
         }
         if matches!(change, Change::Status | Change::Joined) {
             let (vm, state) = (vm.clone(), self.roster.records[vm].status.state);
-            actions.push(Action::Tell { vm, state });
+            actions.push(Action::LogState { vm, state });
         }
     }
 
@@ -261,7 +261,7 @@
         }
     }
 
-    fn handle_refute_request(
+    fn handle_suspicion(
         &mut self,
         from: SocketAddr,
         header: &Header,
@@ -278,13 +278,13 @@
         };
         self.apply_report_about_self(report);
         let record = self.own_record();
-        let news = if unknown {
+        let update = if unknown {
             record.profile_update()
         } else {
             record.status_update()
         };
         let to = self.address_of(&header.vm).unwrap_or(from);
-        actions.push(self.send_action(to, Kind::Gossip, vec![news]));
+        actions.push(self.send_action(to, Kind::Gossip, vec![update]));
     }
 
     /// Tells a member that it is suspected, so that it can refute that soon.
@@ -299,7 +299,7 @@
             return;
         }
         if let Some(to) = self.address_of(vm) {
-            actions.push(self.send_action(to, Kind::Doubt { incarnation }, Vec::new()));
+            actions.push(self.send_action(to, Kind::Suspicion { incarnation }, Vec::new()));
             // In a large group the regular probe of a dead member could be far off.
             self.probes.probe_next(vm);
         }
@@ -323,6 +323,6 @@
         self.gossip_change(Change::Status, Subject::Status(vm.clone()), true);
         self.request_refutation(now, vm, incarnation, actions);
         let (vm, state) = (vm.clone(), State::Suspect);
-        actions.push(Action::Tell { vm, state });
+        actions.push(Action::LogState { vm, state });
     }
 }
--- a/src/member/list.rs
+++ b/src/member/list.rs
@@ -20,11 +20,12 @@
     pub(crate) vms: Vec<SocketAddr>,
     /// Introduction records from the store; the platform's list has none.
     pub(crate) introductions: Vec<Introduction>,
-    pub(crate) leaving: Vec<Server>,
+    #[serde(rename = "leaving")]
+    pub(crate) draining: Vec<Server>,
 }
 
 /// Polls the list at `base` until the receiver is dropped; without an address it never returns.
-pub(crate) async fn follow(base: Option<String>, lists: flume::Sender<List>) {
+pub(crate) async fn poll_vm_list(base: Option<String>, lists: flume::Sender<List>) {
     let Some(base) = base else {
         return std::future::pending().await;
     };
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -17,8 +17,10 @@
 
 pub use gossip::{Action, Counts, Gossip};
 pub use introduction::Introduction;
-pub use view::{Beat, Member, View};
-pub use wire::{Claim, DATAGRAM, Digest, Header, Kind, Message, News, Profile, Sealer, State};
+pub use view::{Announcement, Member, View};
+pub use wire::{
+    Claim, Digest, Header, Kind, MAX_DATAGRAM_BYTES, Message, Profile, Sealer, State, Update,
+};
 
 pub(crate) use duty::{Setup, run};
-pub(crate) use list::{List, follow};
+pub(crate) use list::{List, poll_vm_list};
--- a/src/member/probe.rs
+++ b/src/member/probe.rs
@@ -161,13 +161,13 @@
         }
         for (number, vm, address, pings) in due {
             // Only the first ping carries updates: a VM that does not answer would waste them.
-            let news = if pings == 0 {
+            let updates = if pings == 0 {
                 self.pack_updates(now)
             } else {
                 Vec::new()
             };
             let to = Some(vm.clone());
-            actions.push(self.send_action(address, Kind::Ping { number, to }, news));
+            actions.push(self.send_action(address, Kind::Ping { number, to }, updates));
             if pings >= FIRST_INDIRECT_PING {
                 self.request_indirect_pings(number, &vm, address, actions);
             }
@@ -244,7 +244,7 @@
 
     /// Whether the member is known and currently suspected.
     #[must_use]
-    pub fn suspects(&self, vm: &Vm) -> bool {
+    pub fn is_suspected(&self, vm: &Vm) -> bool {
         let record = self.roster.records.get(vm);
         record.is_some_and(|record| record.status.state == State::Suspect)
     }
--- a/src/member/queue.rs
+++ b/src/member/queue.rs
@@ -17,7 +17,7 @@
     Applied(Vm),
     /// Owner and shard; claims of one owner are sent together.
     Claim(Vm, Shard),
-    Leaving(Server),
+    Draining(Server),
 }
 
 impl Subject {
--- a/src/member/roster.rs
+++ b/src/member/roster.rs
@@ -1,6 +1,6 @@
 //! Records of all known members, and the merging of reports about them.
 
-use super::wire::{News, Profile, State};
+use super::wire::{Profile, State, Update};
 use crate::id::{Incarnation, Offset, Vm};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -32,8 +32,8 @@
         matches!(self.status.state, State::Alive | State::Suspect)
     }
 
-    pub(super) fn profile_update(&self) -> News {
-        News::Profile {
+    pub(super) fn profile_update(&self) -> Update {
+        Update::Profile {
             profile: self.profile.clone(),
             incarnation: self.incarnation,
             state: self.status.state,
@@ -41,8 +41,8 @@
         }
     }
 
-    pub(super) fn status_update(&self) -> News {
-        News::Status {
+    pub(super) fn status_update(&self) -> Update {
+        Update::Status {
             vm: self.profile.vm.clone(),
             incarnation: self.incarnation,
             state: self.status.state,
--- a/src/member/sync.rs
+++ b/src/member/sync.rs
@@ -1,7 +1,7 @@
 //! Anti-entropy: two members exchange digests by bucket, then the contents of differing buckets.
 
 use super::gossip::{Action, Gossip};
-use super::wire::{DATAGRAM, Digest, ENVELOPE_BYTES, Kind, News, Profile};
+use super::wire::{Digest, ENVELOPE_BYTES, Kind, MAX_DATAGRAM_BYTES, Profile, Update};
 use crate::id::Vm;
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     pub(super) fn start_sync(&mut self, now: Instant, to: SocketAddr) -> Option<Action> {
         let salt = self.rng.random();
         let digest = self.digest(now, salt);
-        self.try_spend_bytes(DATAGRAM / 2)
+        self.try_spend_bytes(MAX_DATAGRAM_BYTES / 2)
             .then(|| self.send_action(to, Kind::Digest(digest), Vec::new()))
     }
 
@@ -45,7 +45,7 @@
         let differ = Kind::Differ { members, claims };
         let first = self.send_action(from, differ, datagrams.remove(0));
         let rest = datagrams.into_iter();
-        let rest = rest.map(|news| self.send_action(from, Kind::Contents, news));
+        let rest = rest.map(|updates| self.send_action(from, Kind::Contents, updates));
         std::iter::once(first).chain(rest).collect()
     }
 
@@ -60,26 +60,26 @@
         self.many_differences |= members.len() + claims.len() > FAST_SYNC_THRESHOLD;
         let datagrams = self.collect_updates(now, members, claims).into_iter();
         datagrams
-            .map(|news| self.send_action(from, Kind::Contents, news))
+            .map(|updates| self.send_action(from, Kind::Contents, updates))
             .collect()
     }
 
     /// Contents of the given buckets, from a random one on, in a bounded number of datagrams.
-    fn collect_updates(&mut self, now: Instant, members: &[u8], claims: &[u8]) -> Vec<Vec<News>> {
-        let mut profile_news: Vec<Vec<News>> = vec![Vec::new(); BUCKET_COUNT];
+    fn collect_updates(&mut self, now: Instant, members: &[u8], claims: &[u8]) -> Vec<Vec<Update>> {
+        let mut profile_updates: Vec<Vec<Update>> = vec![Vec::new(); BUCKET_COUNT];
         for record in self.roster.records.values() {
-            profile_news[bucket_of(&record.profile.vm)].push(record.profile_update());
+            profile_updates[bucket_of(&record.profile.vm)].push(record.profile_update());
         }
-        let mut claim_news: Vec<Vec<News>> = vec![Vec::new(); BUCKET_COUNT];
+        let mut claim_updates: Vec<Vec<Update>> = vec![Vec::new(); BUCKET_COUNT];
         for (shard, claim) in &self.shared.shards {
-            News::push_merged(
-                &mut claim_news[bucket_of(&claim.vm)],
+            Update::push_merged(
+                &mut claim_updates[bucket_of(&claim.vm)],
                 claim.to_update(*shard),
             );
         }
         let draining = self.shared.draining_servers(now);
         let draining = draining.iter();
-        let mut news: Vec<News> = draining
+        let mut updates: Vec<Update> = draining
             .filter_map(|server| self.shared.draining_update(now, server))
             .collect();
         // Members and claims alternate by bucket, so that many members don't crowd out the claims.
@@ -88,24 +88,24 @@
             let is_requested =
                 |buckets: &[u8]| buckets.iter().any(|bucket| usize::from(*bucket) == index);
             if is_requested(members) {
-                news.append(&mut profile_news[index]);
+                updates.append(&mut profile_updates[index]);
             }
             if is_requested(claims) {
-                news.append(&mut claim_news[index]);
+                updates.append(&mut claim_updates[index]);
             }
         }
-        self.split_into_datagrams(news)
+        self.split_into_datagrams(updates)
     }
 
-    fn split_into_datagrams(&mut self, news: Vec<News>) -> Vec<Vec<News>> {
+    fn split_into_datagrams(&mut self, updates: Vec<Update>) -> Vec<Vec<Update>> {
         // The first datagram also lists the differing buckets.
         let capacity = |index: usize| {
-            DATAGRAM - ENVELOPE_BYTES - if index == 0 { 2 * BUCKET_COUNT } else { 0 }
+            MAX_DATAGRAM_BYTES - ENVELOPE_BYTES - if index == 0 { 2 * BUCKET_COUNT } else { 0 }
         };
-        let mut datagrams: Vec<Vec<News>> = Vec::new();
+        let mut datagrams: Vec<Vec<Update>> = Vec::new();
         let mut free_bytes = 0;
-        for news in news {
-            let size = news.size();
+        for update in updates {
+            let size = update.size();
             if size > free_bytes {
                 if datagrams.len() == MAX_DATAGRAMS_PER_SIDE {
                     break;
@@ -118,7 +118,7 @@
             }
             free_bytes = free_bytes.saturating_sub(size);
             if let Some(last) = datagrams.last_mut() {
-                last.push(news);
+                last.push(update);
             }
         }
         datagrams
--- a/src/member/tick.rs
+++ b/src/member/tick.rs
@@ -69,7 +69,7 @@
         }
         self.counts.removals += gone.len() as u64;
         self.view_changed |= !gone.is_empty();
-        let log_gone = |vm| Action::Tell {
+        let log_gone = |vm| Action::LogState {
             vm,
             state: State::Gone,
         };
@@ -98,9 +98,9 @@
             return;
         }
         for (_, to) in self.random_members(GOSSIP_FANOUT) {
-            let news = self.pack_updates(now);
-            if !news.is_empty() {
-                actions.push(self.send_action(to, Kind::Gossip, news));
+            let updates = self.pack_updates(now);
+            if !updates.is_empty() {
+                actions.push(self.send_action(to, Kind::Gossip, updates));
             }
         }
     }
--- a/src/member/view.rs
+++ b/src/member/view.rs
@@ -9,7 +9,7 @@
 /// What this VM announces about itself to the members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Beat {
+pub struct Announcement {
     /// Name of the VM, unique among the members.
     pub vm: Vm,
     /// Availability zone of the VM.
@@ -25,7 +25,8 @@
     /// Offset of the last configuration record that the VM has applied.
     pub applied: Offset,
     /// Shards that the VM owns, with the epochs of its claims.
-    pub held: Vec<(Shard, Epoch)>,
+    #[serde(rename = "held")]
+    pub owned: Vec<(Shard, Epoch)>,
 }
 
 /// A member of the view.
@@ -47,7 +48,8 @@
     /// Highest offset of a configuration record that the VM is known to have applied.
     pub applied: Offset,
     /// Shards that the VM is known to own, with the epochs of its claims.
-    pub held: Vec<(Shard, Epoch)>,
+    #[serde(rename = "held")]
+    pub owned: Vec<(Shard, Epoch)>,
     /// Whether the VM is suspected; it keeps its shards until it is considered gone.
     pub suspect: bool,
 }
@@ -58,7 +60,8 @@
     /// Members by name of the VM.
     pub members: BTreeMap<Vm, Member>,
     /// Backend servers that some VM has announced as draining.
-    pub leaving: BTreeSet<Server>,
+    #[serde(rename = "leaving")]
+    pub draining: BTreeSet<Server>,
     /// Highest configuration offset that any VM is known to have applied.
     pub newest: Offset,
 }
@@ -72,11 +75,11 @@
     /// ```
     /// use std::time::Duration;
     /// use vanillatrail::member::View;
-    /// assert!(View::pause(100) < Duration::from_millis(50));
-    /// assert_eq!(View::pause(2000), View::pause(1000) * 2);
+    /// assert!(View::rebuild_interval(100) < Duration::from_millis(50));
+    /// assert_eq!(View::rebuild_interval(2000), View::rebuild_interval(1000) * 2);
     /// ```
     #[must_use]
-    pub fn pause(members: usize) -> Duration {
+    pub fn rebuild_interval(members: usize) -> Duration {
         REBUILD_PAUSE_PER_MEMBER * u32::try_from(members).unwrap_or(u32::MAX)
     }
 
@@ -89,7 +92,7 @@
     #[must_use]
     pub fn owner(&self, shard: Shard) -> Option<&Member> {
         let claims = self.members.values().filter_map(|member| {
-            let (_, epoch) = member.held.iter().find(|(held, _)| *held == shard)?;
+            let (_, epoch) = member.owned.iter().find(|(owned, _)| *owned == shard)?;
             Some((epoch, member))
         });
         claims
@@ -100,10 +103,10 @@
     /// The ready member that rendezvous hashing prefers for `key`; `None` if no member is ready.
     ///
     /// ```
-    /// assert!(vanillatrail::member::View::default().first("pool/main").is_none());
+    /// assert!(vanillatrail::member::View::default().preferred_member("pool/main").is_none());
     /// ```
     #[must_use]
-    pub fn first(&self, key: &str) -> Option<&Member> {
+    pub fn preferred_member(&self, key: &str) -> Option<&Member> {
         let ready = self.members.values().filter(|member| member.ready);
         ready.max_by_key(|member| rendezvous(key, member.vm.as_str()))
     }
--- a/src/member/wire.rs
+++ b/src/member/wire.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 /// Largest datagram; fits the usual MTU without fragmentation.
-pub const DATAGRAM: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// Length of the authentication tag in front of a datagram.
 pub(super) const TAG_BYTES: usize = 16;
 /// Bytes reserved in a datagram for its tag, header and kind.
@@ -28,7 +28,8 @@
     /// Request or reply that the message carries.
     pub kind: Kind,
     /// Updates about members, shards and backend servers, piggybacked on the message.
-    pub news: Vec<News>,
+    #[serde(rename = "news")]
+    pub updates: Vec<Update>,
 }
 
 /// Sender information in every message.
@@ -93,7 +94,7 @@
     /// Tells the receiver that the sender suspects it, considers it gone or does not know it, so
     /// that it can refute.
     #[serde(rename = "x")]
-    Doubt {
+    Suspicion {
         /// Incarnation that the receiver has to exceed; zero if the sender does not know it.
         incarnation: Incarnation,
     },
@@ -166,7 +167,7 @@
 /// One gossiped update.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub enum News {
+pub enum Update {
     /// Everything known about a member.
     #[serde(rename = "p")]
     Profile {
@@ -209,7 +210,7 @@
     },
     /// A backend server is draining.
     #[serde(rename = "b")]
-    Leaving {
+    Draining {
         /// Name of the backend server.
         server: Server,
         /// Raised by one when the notice is renewed.
@@ -219,21 +220,21 @@
     },
 }
 
-impl News {
-    /// Appends `added` to `news`, merging it into the last update if both are claims of one owner.
-    pub(super) fn push_merged(news: &mut Vec<Self>, added: Self) {
-        if added.merges_into(news)
-            && let Some(Self::Claims { claims, .. }) = news.last_mut()
+impl Update {
+    /// Appends `added` to `updates`, merging it into the last update if both are claims of one owner.
+    pub(super) fn push_merged(updates: &mut Vec<Self>, added: Self) {
+        if added.merges_into(updates)
+            && let Some(Self::Claims { claims, .. }) = updates.last_mut()
             && let Self::Claims { claims: added, .. } = added
         {
             claims.extend(added);
         } else {
-            news.push(added);
+            updates.push(added);
         }
     }
 
-    /// Whether this and the last of `news` are claims of one owner that fit one update.
-    fn merges_into(&self, news: &[Self]) -> bool {
+    /// Whether this and the last of `updates` are claims of one owner that fit one update.
+    fn merges_into(&self, updates: &[Self]) -> bool {
         let (
             Self::Claims { vm, boot, .. },
             Some(Self::Claims {
@@ -241,16 +242,16 @@
                 boot: run,
                 claims,
             }),
-        ) = (self, news.last())
+        ) = (self, updates.last())
         else {
             return false;
         };
         owner == vm && run == boot && claims.len() < MAX_CLAIMS_PER_UPDATE
     }
 
-    /// Encoded size when appended to `news`.
-    pub(super) fn size_after(&self, news: &[Self]) -> usize {
-        if self.merges_into(news) {
+    /// Encoded size when appended to `updates`.
+    pub(super) fn size_after(&self, updates: &[Self]) -> usize {
+        if self.merges_into(updates) {
             CLAIM_BYTES
         } else {
             self.size()
@@ -259,7 +260,7 @@
 
     /// Encoded size in bytes.
     pub(super) fn size(&self) -> usize {
-        rmp_serde::to_vec(self).map_or(DATAGRAM, |bytes| bytes.len())
+        rmp_serde::to_vec(self).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
     }
 }
 
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Snapshot;
 use crate::dispatch;
-use crate::member::{Beat, View};
+use crate::member::{Announcement, View};
 use crate::telemetry::Metrics;
 use poem::http::StatusCode;
 use poem::web::{Data, Json};
@@ -18,7 +18,7 @@
 /// What the handlers work with.
 #[derive(Debug, Clone)]
 pub(crate) struct Operator {
-    pub(crate) local: watch::Receiver<Beat>,
+    pub(crate) local: watch::Receiver<Announcement>,
     pub(crate) view: watch::Receiver<Arc<View>>,
     pub(crate) config: watch::Receiver<Arc<Snapshot>>,
     pub(crate) dispatch: flume::Sender<dispatch::Command>,
--- a/src/order/duty.rs
+++ b/src/order/duty.rs
@@ -4,7 +4,7 @@
 use crate::backend::Engines;
 use crate::config::{Fencing, Pool, Snapshot};
 use crate::id::{Epoch, Model, Server, shard_of};
-use crate::member::Beat;
+use crate::member::Announcement;
 use crate::telemetry::event;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
 pub(crate) struct Context {
     pub(crate) shards: u64,
     pub(crate) config: watch::Receiver<Arc<Snapshot>>,
-    pub(crate) local: watch::Receiver<Beat>,
+    pub(crate) local: watch::Receiver<Announcement>,
     pub(crate) stop: CancellationToken,
 }
 
@@ -70,7 +70,7 @@
     /// Takes up the pools whose shard this VM owns now, and drops the others.
     fn refresh(&self, held: &mut BTreeMap<Model, Held>, now: Instant) {
         let config = self.config.borrow().clone();
-        let owned: BTreeMap<_, _> = self.local.borrow().held.iter().copied().collect();
+        let owned: BTreeMap<_, _> = self.local.borrow().owned.iter().copied().collect();
         let epoch_of = |model: &Model| {
             owned
                 .get(&shard_of(&format!("pool/{model}"), self.shards))
--- a/src/owner/duty.rs
+++ b/src/owner/duty.rs
@@ -7,9 +7,9 @@
 use crate::config::Snapshot;
 use crate::dispatch;
 use crate::id::{self, Boot, Epoch, Offset, Sequence, Shard, Vm, Zone};
-use crate::journal::{Body, Command, Event, Id, Numbers, Record, stream_of};
-use crate::member::{Beat, View};
-use crate::ownership::{Claimer, Ledger, Verdict};
+use crate::journal::{Body, Command, Event, Id, Record, Sequences, stream_of};
+use crate::member::{Announcement, View};
+use crate::ownership::{Claimer, Ledger, Validity};
 use crate::policy::forecast::Forecast;
 use crate::program::Table;
 use crate::telemetry::{Metrics, event};
@@ -38,7 +38,7 @@
     pub(crate) checkpoint_entries: u64,
     pub(crate) config: watch::Receiver<Arc<Snapshot>>,
     pub(crate) view: watch::Receiver<Arc<View>>,
-    pub(crate) local: Arc<watch::Sender<Beat>>,
+    pub(crate) local: Arc<watch::Sender<Announcement>>,
     pub(crate) journal: flume::Sender<Command>,
     pub(crate) dispatch: dispatch::Client,
     pub(crate) metrics: Metrics,
@@ -74,7 +74,7 @@
 /// What reading a record back has told.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Receipt {
-    pub(super) verdict: Verdict,
+    pub(super) verdict: Validity,
     /// When the read that showed it was sent.
     pub(super) asked: Instant,
 }
@@ -99,7 +99,7 @@
     pub(super) forecast: RefCell<Forecast>,
     pub(super) engines: backend::Engines,
     pub(super) services: backend::Services,
-    numbers: RefCell<Numbers>,
+    numbers: RefCell<Sequences>,
     pub(super) waiters: RefCell<HashMap<(u64, Sequence), Waiter>>,
     /// The offset that each stream's next entry has.
     pub(super) next: RefCell<HashMap<u64, Offset>>,
@@ -123,7 +123,7 @@
         forecast: RefCell::default(),
         engines: backend::Engines::new(),
         services: backend::Services::new(),
-        numbers: RefCell::new(Numbers::new(context.streams)),
+        numbers: RefCell::new(Sequences::new(context.streams)),
         waiters: RefCell::default(),
         next: RefCell::default(),
         claimer: RefCell::new(Claimer::new(context.me.clone(), context.shards)),
@@ -166,7 +166,7 @@
         let boot = self.boot;
         self.context.local.send_modify(|beat| {
             beat.boot = boot;
-            beat.held.clear();
+            beat.owned.clear();
         });
         for stream in 0..self.context.streams {
             let _ = self
@@ -191,11 +191,11 @@
         loop {
             let wait = self.push(shard, epoch, body.clone())?;
             match wait.await.map(|receipt| (receipt.verdict, receipt.asked)) {
-                Ok((Verdict::Valid | Verdict::Claimed(_), asked)) => return Ok(asked),
+                Ok((Validity::Valid | Validity::Claimed(_), asked)) => return Ok(asked),
                 // Written just before this VM's own renewed claim: it counts for nobody, and is
                 // written again under the new epoch.
-                Ok((Verdict::Void, _)) if self.holds(shard, epoch) => {}
-                Ok((Verdict::Void | Verdict::Duplicate, _)) => return Err(not_owner(shard)),
+                Ok((Validity::Fenced, _)) if self.holds(shard, epoch) => {}
+                Ok((Validity::Fenced | Validity::Duplicate, _)) => return Err(not_owner(shard)),
                 Err(_) => {
                     let message = "the owner was restarted";
                     return Err(Failure::refused(Code::Internal, message).ran(Ran::Unknown));
@@ -298,7 +298,7 @@
             Event::Page {
                 stream,
                 entries,
-                asked,
+                requested_at: asked,
             } => {
                 // Verdicts are told after the whole page: one that waits for its record learns of
                 // a newer claim that was read with it.
@@ -340,7 +340,7 @@
         stream: u64,
         offset: Offset,
         records: &[Record],
-    ) -> Vec<(Waiter, Verdict)> {
+    ) -> Vec<(Waiter, Validity)> {
         let fold = |(index, record): (usize, &Record)| {
             let verdict = self.fold(offset, index, record);
             let mine = record.id.boot == self.boot && record.id.vm == self.context.me;
@@ -372,22 +372,22 @@
         }
     }
 
-    fn fold(self: &Rc<Self>, offset: Offset, index: usize, record: &Record) -> Verdict {
+    fn fold(self: &Rc<Self>, offset: Offset, index: usize, record: &Record) -> Validity {
         let shard = record.shard;
         let mine = record.id.boot == self.boot && record.id.vm == self.context.me;
         let verdict = {
             let mut shards = self.shards.borrow_mut();
             let held = shards.entry(shard).or_default();
-            let verdict = held.ledger.judge(offset, index, record);
+            let verdict = held.ledger.apply(offset, index, record);
             match verdict {
-                Verdict::Valid => {
+                Validity::Valid => {
                     held.table.apply(&record.body);
                     if matches!(record.body, Body::Checkpointed) {
                         held.gap = false;
                         held.base = record.epoch.offset();
                     }
                 }
-                Verdict::Claimed(epoch) => {
+                Validity::Claimed(epoch) => {
                     if !(mine && held.epoch.is_some()) {
                         held.since = epoch;
                         held.renewing = false;
@@ -395,9 +395,9 @@
                     held.epoch = mine.then_some(epoch);
                     held.offered = false;
                 }
-                Verdict::Void | Verdict::Duplicate => {}
+                Validity::Fenced | Validity::Duplicate => {}
             }
-            if verdict == Verdict::Valid
+            if verdict == Validity::Valid
                 && let Body::Release { successor } = &record.body
             {
                 held.epoch = None;
@@ -405,10 +405,10 @@
             }
             verdict
         };
-        if let Verdict::Claimed(epoch) = verdict {
+        if let Validity::Claimed(epoch) = verdict {
             self.claimed(shard, epoch, mine, &record.id.vm);
         }
-        if verdict == Verdict::Valid && matches!(record.body, Body::Release { .. }) {
+        if verdict == Validity::Valid && matches!(record.body, Body::Release { .. }) {
             self.publish();
         }
         verdict
@@ -439,7 +439,7 @@
             .iter()
             .filter_map(|(shard, held)| Some((*shard, held.epoch?)));
         let held: Vec<(Shard, Epoch)> = held.collect();
-        self.context.local.send_modify(|beat| beat.held = held);
+        self.context.local.send_modify(|beat| beat.owned = held);
     }
 }
 
--- a/src/owner/hold.rs
+++ b/src/owner/hold.rs
@@ -3,7 +3,7 @@
 use super::duty::Owner;
 use crate::id::{Epoch, Shard, Vm};
 use crate::journal::Body;
-use crate::ownership::Sighting;
+use crate::ownership::Claims;
 use crate::telemetry::event;
 use tokio::time::Instant;
 
@@ -21,20 +21,23 @@
                 self.append_claim(shard);
             }
         }
-        let sightings: Vec<Sighting> = {
+        let sightings: Vec<Claims> = {
             let view = self.context.view.borrow();
-            let members = view.members.values().map(|member| Sighting {
+            let members = view.members.values().map(|member| Claims {
                 vm: member.vm.clone(),
                 eligible: member.ready && !member.suspect,
-                held: if member.vm == self.context.me {
-                    self.context.local.borrow().held.clone()
+                owned: if member.vm == self.context.me {
+                    self.context.local.borrow().owned.clone()
                 } else {
-                    member.held.clone()
+                    member.owned.clone()
                 },
             });
             members.collect()
         };
-        let due = self.claimer.borrow_mut().due(Instant::now(), &sightings);
+        let due = self
+            .claimer
+            .borrow_mut()
+            .shards_to_claim(Instant::now(), &sightings);
         let others = sightings
             .iter()
             .any(|member| member.eligible && member.vm != self.context.me);
@@ -44,7 +47,8 @@
             }
         }
         let mut claimer = self.claimer.borrow_mut();
-        let spare = claimer.spare(Instant::now(), &sightings, |shard| self.idle(shard));
+        let spare =
+            claimer.shard_to_hand_over(Instant::now(), &sightings, |shard| self.idle(shard));
         if let Some((shard, successor)) = spare {
             self.hand_over(shard, Some(successor));
         }
@@ -111,7 +115,7 @@
     fn successor(&self, shard: Shard) -> Option<Vm> {
         let mut view = self.context.view.borrow().as_ref().clone();
         view.members.remove(&self.context.me);
-        view.first(&format!("shard/{shard}"))
+        view.preferred_member(&format!("shard/{shard}"))
             .map(|member| member.vm.clone())
     }
 }
--- a/src/owner/model.rs
+++ b/src/owner/model.rs
@@ -100,7 +100,7 @@
     }
 
     fn is_leaving(&self, server: &Server) -> bool {
-        self.context.view.borrow().leaving.contains(server)
+        self.context.view.borrow().draining.contains(server)
     }
 
     fn prepare(
--- a/src/owner/service.rs
+++ b/src/owner/service.rs
@@ -9,7 +9,7 @@
 use crate::effect::{Action, Effect, Event};
 use crate::id::{Program, Tokens};
 use crate::journal::Body;
-use crate::ownership::Verdict;
+use crate::ownership::Validity;
 use crate::policy::{Outcome, Request};
 use crate::program::{self, Answer, Invocation};
 use std::rc::Rc;
@@ -151,7 +151,7 @@
             receipt.map_err(|_| Failure::refused(Code::Internal, "the owner was restarted"))?;
         // A takeover may have been read with the intent: the next owner has its word on the call.
         let held = self.holds(run.program.shard(), work.epoch);
-        let counts = verdict == Verdict::Valid && held && self.intends(run);
+        let counts = verdict == Validity::Valid && held && self.intends(run);
         let now = Instant::now();
         Ok(Event::ReadBack { counts, asked, now })
     }
--- a/src/ownership/claimer.rs
+++ b/src/ownership/claimer.rs
@@ -18,13 +18,13 @@
 
 /// A member of the view, with the shards that it claims to own.
 #[derive(Debug, Clone)]
-pub struct Sighting {
+pub struct Claims {
     /// Name of the member.
     pub vm: Vm,
     /// Whether the member may own shards: it is ready and not stopping.
     pub eligible: bool,
     /// Shards that the member says it owns, with the epochs of its claims.
-    pub held: Vec<(Shard, Epoch)>,
+    pub owned: Vec<(Shard, Epoch)>,
 }
 
 /// Decides when this VM claims shards and hands them over.
@@ -65,12 +65,12 @@
     /// ```
     /// use vanillatrail::ownership::Claimer;
     /// let mut claimer = Claimer::new("vm-a".parse().unwrap(), 1);
-    /// assert!(claimer.due(tokio::time::Instant::now(), &[]).is_empty());
+    /// assert!(claimer.shards_to_claim(tokio::time::Instant::now(), &[]).is_empty());
     /// ```
-    pub fn due(&mut self, now: Instant, members: &[Sighting]) -> Vec<Shard> {
+    pub fn shards_to_claim(&mut self, now: Instant, members: &[Claims]) -> Vec<Shard> {
         let owned: std::collections::BTreeSet<Shard> = members
             .iter()
-            .flat_map(|member| member.held.iter().map(|(shard, _)| *shard))
+            .flat_map(|member| member.owned.iter().map(|(shard, _)| *shard))
             .collect();
         let mut to_claim = Vec::new();
         for shard in (0..self.shards).map(Shard) {
@@ -106,12 +106,12 @@
     /// ```
     /// use vanillatrail::ownership::Claimer;
     /// let mut claimer = Claimer::new("vm-a".parse().unwrap(), 1);
-    /// assert!(claimer.spare(tokio::time::Instant::now(), &[], |_| true).is_none());
+    /// assert!(claimer.shard_to_hand_over(tokio::time::Instant::now(), &[], |_| true).is_none());
     /// ```
-    pub fn spare(
+    pub fn shard_to_hand_over(
         &mut self,
         now: Instant,
-        members: &[Sighting],
+        members: &[Claims],
         idle: impl Fn(Shard) -> bool,
     ) -> Option<(Shard, Vm)> {
         let eligible = || members.iter().filter(|member| member.eligible);
@@ -127,14 +127,14 @@
             return None;
         }
         let even_share = self.shards.div_ceil(eligible().count().max(1) as u64);
-        let own_shards = &eligible().find(|member| member.vm == self.me)?.held;
+        let own_shards = &eligible().find(|member| member.vm == self.me)?.owned;
         if own_shards.len() as u64 <= even_share {
             return None;
         }
         let (shard, _) = own_shards.iter().find(|(shard, _)| idle(*shard))?;
         let recipients = eligible().filter(|member| {
             now - self.eligible_since[&member.vm] >= MIN_ELIGIBLE_TIME
-                && (member.held.len() as u64) < even_share
+                && (member.owned.len() as u64) < even_share
         });
         let key = format!("shard/{shard}");
         let recipient = recipients.max_by_key(|member| rendezvous(&key, member.vm.as_str()))?;
@@ -142,7 +142,7 @@
         Some((*shard, recipient.vm.clone()))
     }
 
-    fn rank(&self, shard: Shard, members: &[Sighting]) -> Option<usize> {
+    fn rank(&self, shard: Shard, members: &[Claims]) -> Option<usize> {
         let key = format!("shard/{shard}");
         let score = |vm: &Vm| (rendezvous(&key, vm.as_str()), vm.clone());
         let own_score = score(&self.me);
--- a/src/ownership/ledger.rs
+++ b/src/ownership/ledger.rs
@@ -8,7 +8,7 @@
 /// The VM with the newest claim of a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Holder {
+pub struct Owner {
     /// Name of the VM.
     pub vm: Vm,
     /// Run of the process that made the claim.
@@ -19,13 +19,13 @@
 
 /// Whether a record of the stream is valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Validity {
     /// A claim, which starts this epoch.
     Claimed(Epoch),
     /// Written by the owner under the newest claim.
     Valid,
     /// Written under a superseded or released claim, to be ignored.
-    Void,
+    Fenced,
     /// A copy of an earlier record of the stream, to be ignored.
     Duplicate,
 }
@@ -36,7 +36,7 @@
 /// appends of a suspended former owner have no effect.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
-    holder: Option<Holder>,
+    owner: Option<Owner>,
     // Detects duplicates: otherwise a retried claim that arrives late would take the shard from a
     // newer owner.
     last_sequences: BTreeMap<(Vm, Boot), Sequence>,
@@ -46,11 +46,11 @@
     /// The owner after the records so far; `None` before the first claim and after a release.
     ///
     /// ```
-    /// assert!(vanillatrail::ownership::Ledger::default().holder().is_none());
+    /// assert!(vanillatrail::ownership::Ledger::default().owner().is_none());
     /// ```
     #[must_use]
-    pub fn holder(&self) -> Option<&Holder> {
-        self.holder.as_ref()
+    pub fn owner(&self) -> Option<&Owner> {
+        self.owner.as_ref()
     }
 
     /// Applies the record with this index in the batch at `offset`, and returns whether it is valid.
@@ -58,7 +58,7 @@
     /// ```
     /// use vanillatrail::id::{Boot, Epoch, Offset, Sequence, Shard};
     /// use vanillatrail::journal::{Body, Id, Record};
-    /// use vanillatrail::ownership::{Ledger, Verdict};
+    /// use vanillatrail::ownership::{Ledger, Validity};
     /// let record = Record {
     ///     id: Id { vm: "vm-a".parse().unwrap(), boot: Boot(1), sequence: Sequence(1) },
     ///     shard: Shard(0),
@@ -67,40 +67,38 @@
     /// };
     /// let mut ledger = Ledger::default();
     /// let epoch = Epoch::at(Offset(4), 0);
-    /// assert_eq!(ledger.judge(Offset(4), 0, &record), Verdict::Claimed(epoch));
-    /// assert_eq!(ledger.judge(Offset(5), 0, &record), Verdict::Duplicate);
+    /// assert_eq!(ledger.apply(Offset(4), 0, &record), Validity::Claimed(epoch));
+    /// assert_eq!(ledger.apply(Offset(5), 0, &record), Validity::Duplicate);
     /// ```
-    pub fn judge(&mut self, offset: Offset, index: usize, record: &Record) -> Verdict {
+    pub fn apply(&mut self, offset: Offset, index: usize, record: &Record) -> Validity {
         let writer = (record.id.vm.clone(), record.id.boot);
         if self
             .last_sequences
             .get(&writer)
             .is_some_and(|last| record.id.sequence <= *last)
         {
-            return Verdict::Duplicate;
+            return Validity::Duplicate;
         }
         self.last_sequences.insert(writer, record.id.sequence);
         if matches!(record.body, Body::Claim) {
             let epoch = Epoch::at(offset, index);
             let Record { id, .. } = record;
-            self.holder = Some(Holder {
+            self.owner = Some(Owner {
                 vm: id.vm.clone(),
                 boot: id.boot,
                 epoch,
             });
-            return Verdict::Claimed(epoch);
+            return Validity::Claimed(epoch);
         }
-        let valid = self.holder.as_ref().is_some_and(|holder| {
-            holder.epoch == record.epoch
-                && holder.boot == record.id.boot
-                && holder.vm == record.id.vm
+        let valid = self.owner.as_ref().is_some_and(|owner| {
+            owner.epoch == record.epoch && owner.boot == record.id.boot && owner.vm == record.id.vm
         });
         if !valid {
-            return Verdict::Void;
+            return Validity::Fenced;
         }
         if matches!(record.body, Body::Release { .. }) {
-            self.holder = None;
+            self.owner = None;
         }
-        Verdict::Valid
+        Validity::Valid
     }
 }
--- a/src/ownership/mod.rs
+++ b/src/ownership/mod.rs
@@ -3,5 +3,5 @@
 mod claimer;
 mod ledger;
 
-pub use claimer::{Claimer, Sighting};
-pub use ledger::{Holder, Ledger, Verdict};
+pub use claimer::{Claimer, Claims};
+pub use ledger::{Ledger, Owner, Validity};
--- a/src/peer/links.rs
+++ b/src/peer/connections.rs
@@ -27,19 +27,19 @@
 
 /// The peer is unreachable or the connection broke; the request may still have taken effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Lost;
+pub(crate) struct Disconnected;
 
 /// Keeps a permit: the dispatcher releases it when this subscription is dropped.
 pub(crate) type PermitStream = Subscription<Result<Grant, Failure>>;
 
 /// Connections by peer address, opened on first use.
 #[derive(Debug, Clone)]
-pub(crate) struct Links {
+pub(crate) struct Connections {
     key: Arc<str>,
     clients: Arc<Mutex<HashMap<SocketAddr, Arc<WsClient>>>>,
 }
 
-impl Links {
+impl Connections {
     pub(crate) fn new(key: &str) -> Self {
         Self {
             key: key.into(),
@@ -49,66 +49,66 @@
 
     /// Sends a request to the shard owner at `to` and returns the frames of its answer, for which the
     /// caller waits up to `wait`.
-    pub(crate) async fn ask(
+    pub(crate) async fn request(
         &self,
         to: SocketAddr,
         request: &Request,
         wait: Duration,
-    ) -> Result<Subscription<Frame>, Lost> {
+    ) -> Result<Subscription<Frame>, Disconnected> {
         let client = self.client(to).await?;
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         let params = rpc_params![&self.key, request, wait_ms];
         client
             .subscribe("ask", params, "unask")
             .await
-            .map_err(|_| Lost)
+            .map_err(|_| Disconnected)
     }
 
     /// Requests a permit from the dispatcher at `to` and waits until it is granted or refused.
-    pub(crate) async fn permit(
+    pub(crate) async fn acquire_permit(
         &self,
         to: SocketAddr,
         key: &Key,
         request: &policy::Request,
-    ) -> Result<(Result<Grant, Failure>, PermitStream), Lost> {
+    ) -> Result<(Result<Grant, Failure>, PermitStream), Disconnected> {
         let client = self.client(to).await?;
         let params = rpc_params![&self.key, key, request];
         let mut stream: PermitStream = client
             .subscribe("permit", params, "unpermit")
             .await
-            .map_err(|_| Lost)?;
+            .map_err(|_| Disconnected)?;
         match stream.next().await {
             Some(Ok(grant)) => Ok((grant, stream)),
-            _ => Err(Lost),
+            _ => Err(Disconnected),
         }
     }
 
     /// Fetches the configuration that the peer at `to` has applied.
-    pub(crate) async fn config(&self, to: SocketAddr) -> Result<Book, Lost> {
+    pub(crate) async fn fetch_config(&self, to: SocketAddr) -> Result<Book, Disconnected> {
         let client = self.client(to).await?;
         client
             .request("config", rpc_params![&self.key])
             .await
-            .map_err(|_| Lost)
+            .map_err(|_| Disconnected)
     }
 
     /// Reports the outcome of a call to the dispatcher at `to`.
-    pub(crate) async fn done(
+    pub(crate) async fn report_outcome(
         &self,
         to: SocketAddr,
         key: &Key,
         permit: Permit,
         outcome: &Outcome,
-    ) -> Result<(), Lost> {
+    ) -> Result<(), Disconnected> {
         let client = self.client(to).await?;
         let params = rpc_params![&self.key, key, permit, outcome];
         client
             .request::<(), _>("done", params)
             .await
-            .map_err(|_| Lost)
+            .map_err(|_| Disconnected)
     }
 
-    async fn client(&self, to: SocketAddr) -> Result<Arc<WsClient>, Lost> {
+    async fn client(&self, to: SocketAddr) -> Result<Arc<WsClient>, Disconnected> {
         if let Some(client) = self.clients.lock().await.get(&to)
             && client.is_connected()
         {
@@ -130,7 +130,7 @@
         let client = builder
             .build(format!("ws://{to}"))
             .await
-            .map_err(|_| Lost)?;
+            .map_err(|_| Disconnected)?;
         let client = Arc::new(client);
         self.clients.lock().await.insert(to, client.clone());
         Ok(client)
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,10 +1,10 @@
 //! Requests between VMs: JSON-RPC over persistent WebSocket connections, authenticated by the peer
 //! key.
 
-mod links;
+mod connections;
 mod server;
 
-pub(crate) use links::{Links, Lost, PermitStream};
+pub(crate) use connections::{Connections, Disconnected, PermitStream};
 pub(crate) use server::{Service, serve};
 
 /// Limit of one message on both ends; larger than the largest request body.
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -30,7 +30,7 @@
     pub(crate) key: String,
     pub(crate) owner: flume::Sender<Ask>,
     pub(crate) dispatch: flume::Sender<dispatch::Command>,
-    pub(crate) books: watch::Receiver<Arc<Book>>,
+    pub(crate) config: watch::Receiver<Arc<Book>>,
 }
 
 impl Service {
@@ -114,7 +114,7 @@
         .register_method("config", |params, service, _| {
             let key: String = params.one()?;
             service.check_key(&key)?;
-            Ok::<Book, ErrorObjectOwned>(service.books.borrow().as_ref().clone())
+            Ok::<Book, ErrorObjectOwned>(service.config.borrow().as_ref().clone())
         })
         .expect("method names are unique");
     module
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -5,12 +5,12 @@
 use crate::config::{self, Book, Snapshot};
 use crate::entry::{self, Entry, Router};
 use crate::id::{self, Boot, Millicores, Offset};
-use crate::journal::{self, Pace, Share};
-use crate::member::{self, Beat, View};
+use crate::journal::{self, MemberCount, Rate};
+use crate::member::{self, Announcement, View};
 use crate::operator::{self, Operator};
 use crate::order;
 use crate::owner;
-use crate::peer::{self, Links};
+use crate::peer::{self, Connections};
 use crate::platform::Http;
 use crate::settings::{Listen, Settings};
 use crate::supervisor::Supervisor;
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone)]
 struct Members(watch::Receiver<Arc<View>>);
 
-impl Share for Members {
+impl MemberCount for Members {
     fn members(&self) -> usize {
         self.0.borrow().members.len()
     }
@@ -132,8 +132,8 @@
 /// What a VM says of its processor time: these settings do not tell it, and all count as alike.
 const ONE_CORE: Millicores = Millicores(1000);
 
-fn first_beat(settings: &Settings) -> Beat {
-    Beat {
+fn first_beat(settings: &Settings) -> Announcement {
+    Announcement {
         vm: settings.vm.clone(),
         zone: settings.zone.clone(),
         boot: Boot(0),
@@ -141,7 +141,7 @@
         cores: ONE_CORE,
         ready: false,
         applied: Offset(0),
-        held: Vec::new(),
+        owned: Vec::new(),
     }
 }
 
@@ -151,8 +151,8 @@
     settings: Settings,
     metrics: Metrics,
     log: Http,
-    links: Links,
-    local: Arc<watch::Sender<Beat>>,
+    links: Connections,
+    local: Arc<watch::Sender<Announcement>>,
     config: watch::Receiver<Arc<Snapshot>>,
     view: watch::Receiver<Arc<View>>,
     books: watch::Receiver<Arc<Book>>,
@@ -165,7 +165,7 @@
     supervisor: &mut Supervisor,
     settings: &Settings,
     sockets: Sockets,
-    local: &Arc<watch::Sender<Beat>>,
+    local: &Arc<watch::Sender<Announcement>>,
     stages: &Stages,
 ) {
     let (config, config_seen) = watch::channel(Arc::new(Snapshot::default()));
@@ -181,7 +181,7 @@
         settings: settings.clone(),
         metrics: Metrics::new(),
         log: Http::new(&settings.log),
-        links: Links::new(&settings.peer_key),
+        links: Connections::new(&settings.peer_key),
         local: local.clone(),
         config: config_seen,
         view: view_seen,
@@ -236,17 +236,17 @@
         let wiring = self.clone();
         supervisor.duty("member", move || {
             let settings = wiring.settings.clone();
-            let (lists, listed) = flume::bounded(LISTS);
-            let follow = member::follow(settings.vms, lists);
+            let (lists, vm_lists) = flume::bounded(LISTS);
+            let follow = member::poll_vm_list(settings.vms, lists);
             let work = member::run(member::Setup {
                 introduction: watch::channel(None).0,
                 socket: socket.try_clone().expect("the system gives a handle"),
                 key: settings.peer_key,
                 seeds: settings.seeds,
-                listed,
+                vm_lists,
                 local: wiring.local.subscribe(),
-                published: published.clone(),
-                leaving: leaving.clone(),
+                view: published.clone(),
+                draining: leaving.clone(),
                 stop: wiring.stages.rest.clone(),
             });
             async move {
@@ -261,10 +261,10 @@
         commands: flume::Receiver<journal::Command>,
         events: flume::Sender<journal::Event>,
     ) {
-        let pace = Pace {
+        let pace = Rate {
             appends_per_second: self.settings.appends_per_second,
             streams: usize::try_from(self.settings.journal_streams).expect("checked to be small"),
-            share: Members(self.view.clone()),
+            members: Members(self.view.clone()),
         };
         let wiring = self.clone();
         supervisor.duty("journal", move || {
@@ -348,7 +348,7 @@
             key: self.settings.peer_key.clone(),
             owner: self.owner.clone(),
             dispatch: self.dispatch.clone(),
-            books: self.books.clone(),
+            config: self.books.clone(),
         };
         let rest = self.stages.rest.clone();
         supervisor.duty("peer", move || {
@@ -415,7 +415,7 @@
 /// Keeps what this VM says of itself in step with the configuration it has applied.
 async fn readiness(
     mut config: watch::Receiver<Arc<Snapshot>>,
-    local: Arc<watch::Sender<Beat>>,
+    local: Arc<watch::Sender<Announcement>>,
     stopping: CancellationToken,
 ) {
     loop {
--- a/tests/beat/mod.rs
+++ b/tests/beat/mod.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 use vanillatrail::id::{Boot, Millicores, Offset};
-use vanillatrail::member::Beat;
+use vanillatrail::member::Announcement;
 
 /// A ready VM with this number.
-pub fn beat(index: u16) -> Beat {
-    Beat {
+pub fn beat(index: u16) -> Announcement {
+    Announcement {
         vm: format!("vm-{index}").parse().expect("a name"),
         zone: "zone-a".parse().expect("a name"),
         boot: Boot(1),
@@ -14,6 +14,6 @@
         cores: Millicores(1000),
         ready: true,
         applied: Offset(0),
-        held: Vec::new(),
+        owned: Vec::new(),
     }
 }
--- a/tests/member.rs
+++ b/tests/member.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use vanillatrail::id::{Epoch, Offset, Shard, Vm};
 use vanillatrail::member::View;
-use vanillatrail::ownership::{Claimer, Sighting};
+use vanillatrail::ownership::{Claimer, Claims};
 
 const SHARDS: u64 = 48;
 /// Far more than any step takes.
@@ -38,11 +38,11 @@
     owned.collect()
 }
 
-fn sightings(view: &View) -> Vec<Sighting> {
-    let members = view.members.values().map(|member| Sighting {
+fn sightings(view: &View) -> Vec<Claims> {
+    let members = view.members.values().map(|member| Claims {
         vm: member.vm.clone(),
         eligible: member.ready,
-        held: member.held.clone(),
+        owned: member.owned.clone(),
     });
     members.collect()
 }
@@ -60,7 +60,7 @@
         for (index, claimer) in claimers.iter_mut().enumerate() {
             if exchange.nodes[index].up {
                 let seen = sightings(&exchange.view(index));
-                due += claimer.due(exchange.now, &seen).len();
+                due += claimer.shards_to_claim(exchange.now, &seen).len();
             }
         }
     }
@@ -174,7 +174,7 @@
     exchange.run(seconds(20));
     let fresh = Epoch::at(Offset(9_000_000), 0);
     // Shard 1 is held by VM 1; VM 2 is on the other side.
-    exchange.tell(2, |beat| beat.held.push((Shard(1), fresh)));
+    exchange.tell(2, |beat| beat.owned.push((Shard(1), fresh)));
     exchange.tell(3, |beat| beat.applied = Offset(1_000_007));
     exchange.run(seconds(10));
     assert_eq!(exchange.view(1).owner(Shard(1)).unwrap().vm, name(1));
@@ -260,7 +260,7 @@
 fn a_stale_vm_list_changes_no_view() {
     let mut exchange = joined(12, 10);
     for node in &mut exchange.nodes {
-        node.peer.gossip.contact((500..560).map(address));
+        node.peer.gossip.add_contacts((500..560).map(address));
     }
     assert_eq!(claims(&mut exchange, seconds(30)), 0);
     assert!(exchange.whole());
@@ -334,17 +334,20 @@
     let mut exchange = joined(24, 15);
     let server = "engine-7".parse().unwrap();
     let now = exchange.now;
-    exchange.nodes[9].peer.gossip.leaving(now, &server);
+    exchange.nodes[9]
+        .peer
+        .gossip
+        .announce_draining(now, &server);
     let known = exchange.until(seconds(20), |exchange| {
-        exchange.all(|view| view.leaving.contains(&server))
+        exchange.all(|view| view.draining.contains(&server))
     });
     assert!(known.is_some_and(|time| time < seconds(4)), "{known:?}");
     let over = exchange.until(seconds(70), |exchange| {
-        exchange.all(|view| view.leaving.is_empty())
+        exchange.all(|view| view.draining.is_empty())
     });
     assert!(over.is_some());
     exchange.run(seconds(60));
-    assert!(exchange.all(|view| view.leaving.is_empty()));
+    assert!(exchange.all(|view| view.draining.is_empty()));
 }
 
 /// A group in which everything changes at once still sends datagrams of at most 1,200 bytes, and
@@ -363,5 +366,8 @@
         .map(|node| node.largest)
         .max()
         .unwrap();
-    assert!(largest <= vanillatrail::member::DATAGRAM, "{largest}");
+    assert!(
+        largest <= vanillatrail::member::MAX_DATAGRAM_BYTES,
+        "{largest}"
+    );
 }
--- a/tests/member_handover.rs
+++ b/tests/member_handover.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::id::{Epoch, Shard, Vm};
-use vanillatrail::ownership::{Claimer, Sighting};
+use vanillatrail::ownership::{Claimer, Claims};
 
 const STEP: Duration = Duration::from_millis(100);
 
@@ -11,11 +11,11 @@
     name.parse().expect("a plain name")
 }
 
-fn sighting(name: &str, shards: std::ops::Range<u64>) -> Sighting {
-    Sighting {
+fn sighting(name: &str, shards: std::ops::Range<u64>) -> Claims {
+    Claims {
         vm: vm(name),
         eligible: true,
-        held: shards.map(|shard| (Shard(shard), Epoch(1))).collect(),
+        owned: shards.map(|shard| (Shard(shard), Epoch(1))).collect(),
     }
 }
 
@@ -32,7 +32,7 @@
         if seen(at) {
             members.extend([sighting("vm-b", 12..12), sighting("vm-c", 12..12)]);
         }
-        if let Some((shard, to)) = claimer.spare(start + at, &members, |_| true) {
+        if let Some((shard, to)) = claimer.shard_to_hand_over(start + at, &members, |_| true) {
             assert!(shard.0 < held && to != vm("vm-a"));
             held -= 1;
             times.push(at);
@@ -67,10 +67,18 @@
     let mut claimer = Claimer::new(vm("vm-a"), 4);
     let start = Instant::now();
     let members = [sighting("vm-a", 0..4), sighting("vm-b", 4..4)];
-    assert!(claimer.spare(start, &members, |_| true).is_none());
+    assert!(
+        claimer
+            .shard_to_hand_over(start, &members, |_| true)
+            .is_none()
+    );
     let later = start + Duration::from_secs(31);
-    assert!(claimer.spare(later, &members, |_| false).is_none());
-    let spare = claimer.spare(later, &members, |shard| shard == Shard(2));
+    assert!(
+        claimer
+            .shard_to_hand_over(later, &members, |_| false)
+            .is_none()
+    );
+    let spare = claimer.shard_to_hand_over(later, &members, |shard| shard == Shard(2));
     assert_eq!(spare, Some((Shard(2), vm("vm-b"))));
 }
 
@@ -79,12 +87,12 @@
 #[test]
 fn the_first_in_rank_claims_and_the_others_wait() {
     let names = ["vm-a", "vm-b", "vm-c"];
-    let members: Vec<Sighting> = names.iter().map(|name| sighting(name, 0..0)).collect();
+    let members: Vec<Claims> = names.iter().map(|name| sighting(name, 0..0)).collect();
     let start = Instant::now();
     let waits = names.map(|name| {
         let mut claimer = Claimer::new(vm(name), 1);
         let steps = (0..100).map(|step| STEP * step);
-        let mut due = steps.filter(|at| !claimer.due(start + *at, &members).is_empty());
+        let mut due = steps.filter(|at| !claimer.shards_to_claim(start + *at, &members).is_empty());
         due.next().expect("it claims in the end")
     });
     let mut sorted = waits;
--- a/tests/member_start.rs
+++ b/tests/member_start.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::id::{Boot, Incarnation};
-use vanillatrail::member::{Action, Beat, Gossip, Introduction};
+use vanillatrail::member::{Action, Announcement, Gossip, Introduction};
 
 const VMS: u16 = 120;
 const TICK: Duration = Duration::from_millis(50);
@@ -25,7 +25,7 @@
 impl Group {
     fn start() -> Self {
         let now = Instant::now();
-        let beats: Vec<Beat> = (0..VMS).map(beat).collect();
+        let beats: Vec<Announcement> = (0..VMS).map(beat).collect();
         let seeds = vec![beats[0].address];
         let nodes = beats.iter().enumerate().map(|(index, beat)| {
             let seeds = seeds.clone();
@@ -85,7 +85,7 @@
     let mut group = Group::start();
     let introductions = group.introductions();
     for node in &mut group.nodes {
-        node.introduce(group.now, &introductions);
+        node.apply_introductions(group.now, &introductions);
     }
     assert!(
         group
@@ -119,7 +119,7 @@
     introductions[5].profile.version = Incarnation(3);
     introductions[5].incarnation = Incarnation(3);
     for node in &mut group.nodes {
-        node.introduce(group.now, &introductions);
+        node.apply_introductions(group.now, &introductions);
     }
     group.run(Duration::from_secs(30));
     assert!(
--- a/tests/member_view.rs
+++ b/tests/member_view.rs
@@ -30,7 +30,7 @@
         if step % 40 == 0 {
             let mut told = beats[0].clone();
             told.applied = Offset(step);
-            nodes[0].local(&told);
+            nodes[0].update_local(&told);
         }
         let mut wire: Vec<(usize, Action)> = Vec::new();
         for (index, node) in nodes.iter_mut().enumerate() {
@@ -43,7 +43,7 @@
             let target = seeds.iter().position(|seed| *seed == to).expect("a seed");
             let answers = nodes[target].on_message(now, seeds[from], message);
             wire.extend(answers.into_iter().map(|action| (target, action)));
-            let changed = nodes[target].changed();
+            let changed = nodes[target].view_changed();
             let view = nodes[target].view(now);
             if view != published[target] {
                 assert!(changed, "step {step}: vm-{target} has {view:?}");
--- a/tests/stranger.rs
+++ b/tests/stranger.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use support::Environment;
 use vanillatrail::id::{Boot, Incarnation, Millicores, Offset};
-use vanillatrail::member::{Header, Kind, Message, News, Profile, Sealer, State};
+use vanillatrail::member::{Header, Kind, Message, Profile, Sealer, State, Update};
 
 /// A message in which `vm` asks to join, sealed with `key`.
 fn join(vm: &str, key: &str, address: SocketAddr) -> Vec<u8> {
@@ -21,7 +21,7 @@
         ready: false,
         version: Incarnation(1),
     };
-    let news = News::Profile {
+    let news = Update::Profile {
         profile: profile.clone(),
         incarnation: Incarnation(1),
         state: State::Alive,
@@ -40,7 +40,7 @@
     Sealer::new(key).seal(&Message {
         from,
         kind,
-        news: vec![news],
+        updates: vec![news],
     })
 }
 
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -12,7 +12,7 @@
 use vanillatrail::effect::{Action, Effect, Event};
 use vanillatrail::id::{self, Boot, Call, Digest, Epoch, Offset, Sequence, Shard, Tokens};
 use vanillatrail::journal::{Body, Id, Record};
-use vanillatrail::ownership::{Ledger, Verdict};
+use vanillatrail::ownership::{Ledger, Validity};
 use vanillatrail::program::{Admission, Answer, Budget, Message, Table, Usage};
 
 const SHARD: Shard = Shard(0);
@@ -229,11 +229,11 @@
     fn place(&mut self, record: Record) {
         let (ledger, tables) = &mut self.truth;
         let mut table = tables.last().expect("one for the start").clone();
-        match ledger.judge(Offset(self.log.len() as u64), 0, &record) {
-            Verdict::Valid => table.apply(&record.body),
-            Verdict::Claimed(_) => self.seen.takeovers += 1,
-            Verdict::Void => self.seen.void += 1,
-            Verdict::Duplicate => {}
+        match ledger.apply(Offset(self.log.len() as u64), 0, &record) {
+            Validity::Valid => table.apply(&record.body),
+            Validity::Claimed(_) => self.seen.takeovers += 1,
+            Validity::Fenced => self.seen.void += 1,
+            Validity::Duplicate => {}
         }
         tables.push(table);
         self.log.push(record);
@@ -322,13 +322,13 @@
             let record = self.log[at].clone();
             let state = &mut self.vms[vm];
             let mine = record.id.boot == Boot(state.boot * 10 + vm as u64);
-            let verdict = state.ledger.judge(Offset(at as u64), 0, &record);
+            let verdict = state.ledger.apply(Offset(at as u64), 0, &record);
             match verdict {
-                Verdict::Valid => state.table.apply(&record.body),
-                Verdict::Claimed(epoch) => state.epoch = mine.then_some(epoch),
-                Verdict::Void | Verdict::Duplicate => {}
+                Validity::Valid => state.table.apply(&record.body),
+                Validity::Claimed(epoch) => state.epoch = mine.then_some(epoch),
+                Validity::Fenced | Validity::Duplicate => {}
             }
-            if mine && verdict != Verdict::Duplicate {
+            if mine && verdict != Validity::Duplicate {
                 read.push((record.id.sequence, verdict));
             }
         }
@@ -347,11 +347,11 @@
         }
     }
 
-    fn read_back(&mut self, vm: usize, index: usize, verdict: Verdict, asked: Instant) {
+    fn read_back(&mut self, vm: usize, index: usize, verdict: Validity, asked: Instant) {
         let state = &mut self.vms[vm];
         let mut run = state.runs.remove(&index).expect("found");
         run.awaits = None;
-        let valid = verdict == Verdict::Valid;
+        let valid = verdict == Validity::Valid;
         let held = state.epoch == Some(run.epoch);
         let Ok(table) = state.table.get(program(index)) else {
             return;
