--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -30,7 +30,7 @@
     Send {
         /// Address of the receiving member.
         to: SocketAddr,
-        /// Message to seal; fits [`MAX_DATAGRAM_BYTES`] with its seal.
+        /// Message to seal; fits [`MAX_DATAGRAM_BYTES`] once sealed.
         message: Message,
     },
     /// Log a member's new state.
@@ -106,7 +106,7 @@
     pub(super) timers: Timers,
     pub(super) last_tick: Instant,
     pub(super) byte_budget: f64,
-    /// Whether an exchange since the last timer found many differences.
+    /// Whether an exchange since the last scheduled one found many differences.
     pub(super) many_differences: bool,
     pub(super) view_changed: bool,
     pub(super) draining_servers: BTreeSet<Server>,
--- a/src/member/probe.rs
+++ b/src/member/probe.rs
@@ -20,7 +20,7 @@
 ];
 /// Index of the first ping that is also requested from other members.
 const FIRST_INDIRECT_PING: usize = 2;
-const MAX_INDIRECT_PROBERS: usize = 3;
+const INDIRECT_PROBERS: usize = 3;
 /// A probe without an acknowledgement for this long raises a suspicion.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(750);
 /// How long a relayed ping waits for its acknowledgement.
@@ -181,7 +181,7 @@
         address: SocketAddr,
         actions: &mut Vec<Action>,
     ) {
-        for (other, to) in self.random_members(MAX_INDIRECT_PROBERS + 1) {
+        for (other, to) in self.random_members(INDIRECT_PROBERS + 1) {
             if other != *vm {
                 let relay = Kind::Relay {
                     number,
