--- a/src/member/duty.rs
+++ b/src/member/duty.rs
@@ -1,9 +1,9 @@
 //! The membership thread: runs the gossip protocol over UDP.
 
-use super::changes::StateLog;
 use super::gossip::{Action, Gossip};
 use super::introduction::Introduction;
 use super::list::List;
+use super::state_log::StateLog;
 use super::view::{Announcement, View};
 use super::wire::{MAX_DATAGRAM_BYTES, Sealer};
 use crate::clock;
--- a/src/member/gossip.rs
+++ b/src/member/gossip.rs
@@ -6,10 +6,10 @@
 //! incarnation. Updates are piggybacked on probes and sent in datagrams of their own, a bounded
 //! number of times each. Periodic anti-entropy exchanges repair lost updates and network partitions.
 
-use super::hints::{OwnerClaim, SharedState};
 use super::probe::Probes;
 use super::queue::{Queue, Subject};
 use super::roster::{Change, Record, Roster, Status};
+use super::shared::{OwnerClaim, SharedState};
 use super::tick::BYTE_BUDGET;
 use super::view::{Announcement, Member, View};
 use super::wire::{
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -1,15 +1,15 @@
 //! Gossip membership of the scheduler's VMs: which are alive and ready, and which shards they own.
 
-mod changes;
 mod duty;
 mod gossip;
-mod hints;
 mod introduction;
-mod learn;
 mod list;
 mod probe;
 mod queue;
+mod receive;
 mod roster;
+mod shared;
+mod state_log;
 mod sync;
 mod tick;
 mod view;
--- a/src/member/learn.rs
+++ b/src/member/receive.rs
@@ -1,9 +1,9 @@
 //! Handling of received messages: merging their updates and replying.
 
 use super::gossip::{Action, Gossip};
-use super::hints::OwnerClaim;
 use super::queue::Subject;
 use super::roster::{Change, Report, Status};
+use super::shared::OwnerClaim;
 use super::wire::{Header, Kind, Message, State, Update};
 use crate::id::{Incarnation, Offset, Vm};
 use std::net::SocketAddr;
