--- a/src/member/probe.rs
+++ b/src/member/probe.rs
@@ -152,8 +152,8 @@
     fn send_due_pings(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let mut due = Vec::new();
         for (number, probe) in &mut self.probes.in_flight {
-            let after = PING_DELAYS.get(probe.pings);
-            if after.is_some_and(|after| now.saturating_duration_since(probe.started_at) >= *after)
+            let delay = PING_DELAYS.get(probe.pings);
+            if delay.is_some_and(|delay| now.saturating_duration_since(probe.started_at) >= *delay)
             {
                 due.push((*number, probe.vm.clone(), probe.address, probe.pings));
                 probe.pings += 1;
--- a/src/member/receive.rs
+++ b/src/member/receive.rs
@@ -245,13 +245,13 @@
     /// earlier run, whose profile would otherwise override the current one.
     fn apply_report_about_self(&mut self, report: Report<'_>) {
         let record = self.own_record();
-        let refuting = report.state != State::Alive && report.incarnation == record.incarnation;
-        if report.incarnation > record.incarnation || refuting {
+        let suspected = report.state != State::Alive && report.incarnation == record.incarnation;
+        if report.incarnation > record.incarnation || suspected {
             record.incarnation = Incarnation(report.incarnation.0 + 1);
-            if !refuting {
+            if !suspected {
                 record.profile.version = record.incarnation;
             }
-            let subject = if refuting {
+            let subject = if suspected {
                 Subject::Status(self.me.clone())
             } else {
                 Subject::Profile(self.me.clone())
--- a/src/member/roster.rs
+++ b/src/member/roster.rs
@@ -59,21 +59,21 @@
     pub(super) profile: Option<&'a Profile>,
 }
 
-/// Effect of merging a report.
+/// Effect of merging a report, a shard claim or a draining notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Change {
-    /// None: the report is older than what is known, or can't be used.
+    /// No effect: it is older than what is known, or can't be used.
     Stale,
-    /// None: the report agrees with what is known.
+    /// No effect: it agrees with what is known.
     Known,
-    /// The state or the incarnation changed.
+    /// The state or the incarnation of the member changed, or the claim or notice was replaced.
     Status,
-    /// The profile changed, and perhaps the state too.
+    /// The profile of the member changed, and perhaps its state too.
     Profile,
-    /// The member was not known before.
+    /// The member, claim or notice was not known before.
     Joined,
-    /// None, but one side considers the member alive and the other gone. The member has to settle
-    /// it with an incarnation above this one.
+    /// No effect yet: one side considers the member alive and the other gone. The member has to
+    /// settle this with an incarnation above the given one.
     Conflict(Incarnation),
 }
 
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -85,7 +85,9 @@
             "ask",
             "frame",
             "unask",
-            |params, pending, service, _| async move { ask(&params, pending, &service).await },
+            |params, pending, service, _| async move {
+                handle_request(&params, pending, &service).await
+            },
         )
         .expect("method names are unique");
     module
@@ -93,7 +95,7 @@
             "permit",
             "grant",
             "unpermit",
-            |params, pending, service, _| async move { permit(&params, pending, &service).await },
+            |params, pending, service, _| async move { handle_permit(&params, pending, &service).await },
         )
         .expect("method names are unique");
     module
@@ -120,7 +122,7 @@
     module
 }
 
-async fn ask(
+async fn handle_request(
     params: &Params<'_>,
     pending: PendingSubscriptionSink,
     service: &Service,
@@ -163,7 +165,7 @@
     }
 }
 
-async fn permit(
+async fn handle_permit(
     params: &Params<'_>,
     pending: PendingSubscriptionSink,
     service: &Service,
