--- a/src/member/wire.rs
+++ b/src/member/wire.rs
@@ -203,7 +203,7 @@
     Claims {
         /// Name of the claiming VM.
         vm: Vm,
-        /// Run of the process that made the claims; claims of earlier runs are void.
+        /// Run of the process that made the claims; claims of earlier runs are ignored.
         boot: Boot,
         /// Claims and releases, at most as many as fit a datagram.
         claims: Vec<Claim>,
