--- a/src/member/receive.rs
+++ b/src/member/receive.rs
@@ -68,9 +68,7 @@
             Kind::Differ { members, claims } => {
                 actions.extend(self.answer_difference(now, from, &members, &claims));
             }
-            Kind::Suspicion { incarnation } => {
-                self.handle_suspicion(from, header, incarnation, actions);
-            }
+            Kind::Suspicion { incarnation } => self.refute(from, header, incarnation, actions),
         }
     }
 
@@ -261,7 +259,7 @@
         }
     }
 
-    fn handle_suspicion(
+    fn refute(
         &mut self,
         from: SocketAddr,
         header: &Header,
