--- a/src/gateway/tokens/handover.rs
+++ b/src/gateway/tokens/handover.rs
@@ -201,7 +201,7 @@
             let view = self.view.borrow();
             let others = view.members.values();
             let others = others.filter(|member| member.vm != self.settings.vm);
-            let mut claims = others.flat_map(|member| &member.held);
+            let mut claims = others.flat_map(|member| &member.owned);
             let epoch = partition
                 .ownership
                 .get()
--- a/src/gateway/world/snapshot.rs
+++ b/src/gateway/world/snapshot.rs
@@ -67,7 +67,7 @@
         let writer = gateway
             .view
             .borrow()
-            .first("snapshot")
+            .preferred_member("snapshot")
             .map(|member| member.vm.clone());
         if writer.as_ref() != Some(&gateway.settings.vm) {
             written = None;
--- a/src/member/mod.rs
+++ b/src/member/mod.rs
@@ -1,15 +1,15 @@
-//! Membership of the system's own VMs: who is alive, ready, and owns what.
+//! Gossip membership of the scheduler's VMs: which are alive and ready, and which shards they own.
 
-mod changes;
 mod duty;
 mod gossip;
-mod hints;
 mod introduction;
-mod learn;
 mod list;
 mod probe;
 mod queue;
+mod receive;
 mod roster;
+mod shared;
+mod state_log;
 mod sync;
 mod tick;
 mod view;
@@ -17,8 +17,10 @@
 
 pub use gossip::{Action, Counts, Gossip};
 pub use introduction::Introduction;
-pub use view::{Beat, Member, View};
-pub use wire::{Claim, DATAGRAM, Digest, Header, Kind, Message, News, Profile, Sealer, State};
+pub use view::{Announcement, Member, View};
+pub use wire::{
+    Claim, Digest, Header, Kind, MAX_DATAGRAM_BYTES, Message, Profile, Sealer, State, Update,
+};
 
 pub(crate) use duty::{Setup, run};
-pub(crate) use list::{List, follow};
+pub(crate) use list::{List, poll_vm_list};
--- a/src/ownership/mod.rs
+++ b/src/ownership/mod.rs
@@ -1,7 +1,7 @@
-//! Who owns a shard: decided by the order of claims in the log, steered by the member view.
+//! Shard ownership: decided by the order of claims in the log; the member view says when to claim.
 
 mod claimer;
 mod ledger;
 
-pub use claimer::{Claimer, Sighting};
-pub use ledger::{Holder, Ledger, Verdict};
+pub use claimer::{Claimer, Claims};
+pub use ledger::{Ledger, Owner, Validity};
