--- a/src/command/config.rs
+++ b/src/command/config.rs
@@ -3,7 +3,7 @@
 use super::client::Client;
 use super::{Exit, check, paint, print_json, runtime};
 use crate::code::{Code, Failure};
-use crate::config::{Book, Change, Ruling, SCHEMA, Verdict};
+use crate::config::{Book, Change, Ruling, SUPPORTED_SCHEMA, Verdict};
 use crate::id::Offset;
 use crate::journal::CONFIG;
 use crate::platform::{Fault, Http, Log};
@@ -131,7 +131,7 @@
         }
         let id = format!("{:032x}", rand::random::<u128>());
         changes.push(Change {
-            schema: SCHEMA,
+            schema: SUPPORTED_SCHEMA,
             key: key.clone(),
             base: seen.settings().get(key).map(|setting| setting.offset),
             value,
--- a/src/config/book.rs
+++ b/src/config/book.rs
@@ -1,4 +1,4 @@
-//! The verdict on each configuration change, computed alike by every reader of the stream.
+//! Replicated configuration state: every VM applies the same stream and accepts the same changes.
 
 use super::value::{Snapshot, Value};
 use crate::code::{Code, Failure};
@@ -6,25 +6,26 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The schema of entries that this build knows.
-pub(crate) const SCHEMA: u32 = 1;
+/// Newest entry schema that this build supports.
+pub(crate) const SUPPORTED_SCHEMA: u32 = 1;
 
-/// A change as an operator publishes it: one JSON object per entry of the stream.
+/// A change published by an operator, one JSON object per stream entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The schema it was written for.
+    /// Schema version of the change.
     pub schema: u32,
-    /// The key it sets.
+    /// Key that the change sets, for example `class/quick`.
     pub key: String,
-    /// The offset of the change of this key that it is based on; absent for a first one.
+    /// Offset of the previous change of this key, for optimistic concurrency; absent for the
+    /// first change.
     #[serde(default)]
     pub base: Option<Offset>,
-    /// The value, or null to remove the key.
+    /// New value; null removes the key.
     pub value: serde_json::Value,
-    /// Who made it.
+    /// Operator who made the change.
     pub by: String,
-    /// Tells one change that was published twice from two changes.
+    /// Idempotency key: entries with the same id are one change that was published repeatedly.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
 }
@@ -33,26 +34,26 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Setting {
-    /// Where the change stands.
+    /// Offset of the change in the stream.
     pub offset: Offset,
-    /// The value; none for a key that was removed.
+    /// The value; `None` if the key was removed.
     pub value: Option<Value>,
-    /// The id of the change.
+    /// [`Change::id`] of the change.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
 }
 
-/// All settings before one offset, written by a VM so that older entries may be trimmed.
+/// Snapshot of all settings, written by a VM so that the log can trim older entries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Checkpoint {
-    /// The schema it was written for.
+    /// Schema version of the checkpoint.
     pub schema: u32,
-    /// Every entry before this offset is taken in.
+    /// The checkpoint includes every entry before this offset.
     pub through: Offset,
-    /// The settings by key, removed ones too.
+    /// Settings by key, including removed ones.
     pub settings: BTreeMap<String, Setting>,
-    /// When it was written, in milliseconds since the Unix epoch.
+    /// Time of writing, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
@@ -63,41 +64,41 @@
     Change(Change),
 }
 
-/// What became of an entry.
+/// Result of applying an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Ruling {
-    /// The change is in force.
+    /// The change took effect.
     Accepted,
-    /// The change stands earlier in the stream too, where it was accepted.
+    /// Duplicate of the change accepted at this earlier offset.
     Repeated(Offset),
-    /// The change is not in force and never will be.
+    /// The change was rejected and has no effect.
     Refused(Failure),
-    /// A checkpoint, which changes nothing.
+    /// A checkpoint; it changes no setting.
     Checkpoint,
-    /// Entries before this one are missing; it is judged once a checkpoint makes up for them.
+    /// Earlier entries are missing; the entry is applied after a checkpoint covers them.
     Held,
 }
 
-/// The verdict on the entry at one offset.
+/// The result for the entry at one offset.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Verdict {
-    /// Where the entry stands.
+    /// Offset of the entry in the stream.
     pub offset: Offset,
-    /// The key that it sets; empty when it can't be read.
+    /// Key that the change sets; empty for a checkpoint or an unreadable entry.
     pub key: String,
-    /// Who made it.
+    /// Operator who made the change; empty for a checkpoint or an unreadable entry.
     pub by: String,
-    /// What became of it.
+    /// Whether the change took effect.
     pub ruling: Ruling,
 }
 
-/// The configuration, folded from the stream.
+/// Configuration state built by applying the entries of the stream in order.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Book {
-    // The offset of a removal stays, so that a change based on an older one loses against it.
+    // Removed keys stay as tombstones, so that a change with an older base still conflicts.
     settings: BTreeMap<String, Setting>,
     history: Vec<Verdict>,
     applied: Offset,
@@ -106,8 +107,8 @@
     newer_schema: bool,
     #[serde(skip)]
     caught_up: bool,
-    // The log has trimmed entries that this reader has not seen: what follows is held back, as a
-    // verdict without them could differ from that of the other VMs.
+    // Set while trimmed entries are missing. Later entries are deferred, because without the
+    // missing ones their results could differ from those on other VMs.
     #[serde(skip)]
     gap: Option<Gap>,
 }
@@ -115,16 +116,16 @@
 #[derive(Debug, Clone, PartialEq)]
 struct Gap {
     first: Offset,
-    held: Vec<(Offset, Vec<u8>)>,
+    deferred: Vec<(Offset, Vec<u8>)>,
 }
 
 impl Book {
-    /// Verdicts kept for operators.
-    const HISTORY: usize = 1000;
-    /// Entries after which a checkpoint is due, however young the last one is.
-    const ENTRIES: u64 = 1000;
+    /// Limit on the results kept for operators.
+    const MAX_HISTORY: usize = 1000;
+    /// A checkpoint is due after this many entries, regardless of its age.
+    const MAX_ENTRIES_SINCE_CHECKPOINT: u64 = 1000;
 
-    /// Every entry before this offset has been taken in.
+    /// Offset of the next entry to apply.
     ///
     /// ```
     /// use vanillatrail::config::Book;
@@ -136,7 +137,7 @@
         self.applied
     }
 
-    /// The newest verdicts, oldest first.
+    /// The most recent results, oldest first.
     ///
     /// ```
     /// assert!(vanillatrail::config::Book::default().history().is_empty());
@@ -146,7 +147,7 @@
         &self.history
     }
 
-    /// The newest accepted change of each key.
+    /// The newest accepted change of each key, including removals.
     ///
     /// ```
     /// assert!(vanillatrail::config::Book::default().settings().is_empty());
@@ -156,7 +157,7 @@
         &self.settings
     }
 
-    /// Whether entries are missing that no checkpoint has made up for yet.
+    /// Whether trimmed entries are missing that no checkpoint has covered yet.
     ///
     /// ```
     /// use vanillatrail::config::Book;
@@ -170,7 +171,7 @@
         self.gap.is_some()
     }
 
-    /// Notes that the stream has been read to its end.
+    /// Records that the stream has been read to its end.
     ///
     /// ```
     /// let mut book = vanillatrail::config::Book::default();
@@ -181,7 +182,7 @@
         self.caught_up = self.gap.is_none();
     }
 
-    /// Notes that the log keeps nothing before `first`.
+    /// Records that the log has trimmed all entries before `first`.
     ///
     /// ```
     /// use vanillatrail::config::Book;
@@ -194,14 +195,14 @@
         if first <= self.applied {
             return;
         }
-        let held = self.gap.take().map_or_else(Vec::new, |gap| gap.held);
-        self.gap = Some(Gap { first, held });
+        let deferred = self.gap.take().map_or_else(Vec::new, |gap| gap.deferred);
+        self.gap = Some(Gap { first, deferred });
         self.caught_up = false;
     }
 
-    /// Takes the place of this book by a peer's, if that has seen more of the stream.
+    /// Replaces this state with a peer's if the peer has applied more of the stream.
     ///
-    /// Both are folds of the same stream by the same rules, so the longer one contains the other.
+    /// Both apply the same stream by the same rules, so the later state includes the earlier one.
     ///
     /// ```
     /// use vanillatrail::config::Book;
@@ -216,16 +217,16 @@
         let caught_up = self.caught_up;
         *self = Self { caught_up, ..other };
         if let Some(gap) = gap {
-            self.bridge(gap);
+            self.apply_deferred(gap);
         }
         true
     }
 
-    /// Takes in the entry at `offset` and judges it.
+    /// Applies the entry at `offset`.
     ///
-    /// A change counts only if its key has not been changed since the change it is based on, so
-    /// of two operators who race one wins and the other is told. Only the order of the stream
-    /// decides: every VM comes to the same verdict.
+    /// A change is accepted only if its key has not changed since its base offset, so one of two
+    /// concurrent changes wins and the other is refused. The result depends only on the order of
+    /// the stream and is therefore the same on every VM.
     ///
     /// ```
     /// use vanillatrail::config::{Book, Ruling};
@@ -238,37 +239,36 @@
     pub fn take(&mut self, offset: Offset, entry: &[u8]) -> Verdict {
         let parsed = serde_json::from_slice::<Entry>(entry);
         if let Some(mut gap) = self.gap.take() {
-            gap.held.push((offset, entry.to_vec()));
+            gap.deferred.push((offset, entry.to_vec()));
             match parsed {
                 Ok(Entry::Checkpoint(checkpoint))
-                    if checkpoint.schema <= SCHEMA && checkpoint.through >= gap.first =>
+                    if checkpoint.schema <= SUPPORTED_SCHEMA && checkpoint.through >= gap.first =>
                 {
                     self.restore(checkpoint);
-                    self.bridge(gap);
+                    self.apply_deferred(gap);
                 }
                 _ => self.gap = Some(gap),
             }
             return verdict(offset, Ruling::Held);
         }
-        let verdict = self.judge(offset, entry, parsed);
+        let verdict = self.evaluate(offset, entry, parsed);
         self.applied = Offset(offset.0 + 1);
         self.entries_since += 1;
-        self.note(verdict.clone());
+        self.add_to_history(verdict.clone());
         verdict
     }
 
-    /// Where to read on.
-    pub(crate) fn read_from(&self) -> Offset {
-        let held = self.gap.as_ref().map(|gap| {
-            gap.held
+    /// Offset of the next entry to read, which is after the deferred entries.
+    pub(crate) fn next_offset(&self) -> Offset {
+        let after_deferred = self.gap.as_ref().map(|gap| {
+            gap.deferred
                 .last()
                 .map_or(gap.first, |(offset, _)| Offset(offset.0 + 1))
         });
-        held.unwrap_or(self.applied)
+        after_deferred.unwrap_or(self.applied)
     }
 
-    /// A checkpoint of all settings, if the newest is older than `age_ms` or has many entries
-    /// after it.
+    /// A checkpoint to write, if the last one is older than `age_ms` or many entries followed it.
     ///
     /// ```
     /// use vanillatrail::config::Book;
@@ -279,28 +279,28 @@
         if self.gap.is_some() || !self.caught_up || self.applied == Offset(0) {
             return None;
         }
-        let fresh = self
+        let is_recent = self
             .checkpoint_ms
             .is_some_and(|at| now_ms.saturating_sub(at) < age_ms);
-        if fresh && self.entries_since < Self::ENTRIES {
+        if is_recent && self.entries_since < Self::MAX_ENTRIES_SINCE_CHECKPOINT {
             return None;
         }
         Some(Checkpoint {
-            schema: SCHEMA,
+            schema: SUPPORTED_SCHEMA,
             through: self.applied,
             settings: self.settings.clone(),
             at_ms: now_ms,
         })
     }
 
-    /// The configuration in force.
+    /// The effective configuration.
     ///
     /// ```
     /// assert!(vanillatrail::config::Book::default().snapshot().classes.is_empty());
     /// ```
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
-        let mut fresh = Snapshot {
+        let mut snapshot = Snapshot {
             applied: self.applied,
             caught_up: self.caught_up,
             newer_schema: self.newer_schema,
@@ -311,22 +311,22 @@
             match &setting.value {
                 Some(Value::Class(class)) => {
                     if let Ok(name) = name.parse() {
-                        fresh.classes.insert(name, class.clone());
+                        snapshot.classes.insert(name, class.clone());
                     }
                 }
                 Some(Value::Pool(pool)) => {
-                    fresh.pools.insert(pool.model.clone(), pool.clone());
+                    snapshot.pools.insert(pool.model.clone(), pool.clone());
                 }
                 Some(Value::Service(service)) => {
                     if let Ok(name) = name.parse() {
-                        fresh.services.insert(name, service.clone());
+                        snapshot.services.insert(name, service.clone());
                     }
                 }
-                Some(Value::Store(store)) => fresh.store = Some(store.clone()),
+                Some(Value::Store(store)) => snapshot.store = Some(store.clone()),
                 None => {}
             }
         }
-        fresh
+        snapshot
     }
 
     fn restore(&mut self, checkpoint: Checkpoint) {
@@ -335,20 +335,20 @@
         self.checkpoint_ms = Some(checkpoint.at_ms);
     }
 
-    /// Judges what was held back, if nothing before it is missing any more.
-    fn bridge(&mut self, gap: Gap) {
+    /// Applies the deferred entries if no earlier entry is missing.
+    fn apply_deferred(&mut self, gap: Gap) {
         if self.applied < gap.first {
             self.gap = Some(gap);
             return;
         }
-        for (offset, entry) in gap.held {
+        for (offset, entry) in gap.deferred {
             if offset >= self.applied {
                 self.take(offset, &entry);
             }
         }
     }
 
-    fn judge(
+    fn evaluate(
         &mut self,
         offset: Offset,
         entry: &[u8],
@@ -362,7 +362,7 @@
                 return verdict(offset, Ruling::Checkpoint);
             }
             Err(_) => {
-                self.newer_schema |= newer(entry);
+                self.newer_schema |= has_newer_schema(entry);
                 let reason = serde_json::from_slice::<Change>(entry)
                     .map_or_else(|error| error.to_string(), |_| String::new());
                 let failure = Failure::refused(Code::BadConfig, reason);
@@ -370,7 +370,7 @@
             }
         };
         let ruling = match self.check(&change) {
-            Ok(Checked::New(value)) => {
+            Ok(ValidChange::New(value)) => {
                 let setting = Setting {
                     offset,
                     value,
@@ -379,7 +379,7 @@
                 self.settings.insert(change.key.clone(), setting);
                 Ruling::Accepted
             }
-            Ok(Checked::Repeated(at)) => Ruling::Repeated(at),
+            Ok(ValidChange::Repeated(at)) => Ruling::Repeated(at),
             Err(failure) => Ruling::Refused(failure),
         };
         Verdict {
@@ -390,42 +390,44 @@
         }
     }
 
-    fn check(&mut self, change: &Change) -> Result<Checked, Failure> {
-        if change.schema > SCHEMA {
+    fn check(&mut self, change: &Change) -> Result<ValidChange, Failure> {
+        if change.schema > SUPPORTED_SCHEMA {
             self.newer_schema = true;
-            let message = format!("schema {} is newer than {SCHEMA}", change.schema);
+            let message = format!(
+                "schema {} is newer than the supported {SUPPORTED_SCHEMA}",
+                change.schema
+            );
             return Err(Failure::refused(Code::NewerSchema, message));
         }
         let newest = self.settings.get(&change.key);
-        // An operator whose reply was lost publishes again; the copy must neither win a second
-        // time nor be told that it lost against itself.
+        // A retry after a lost reply must neither apply twice nor conflict with the first attempt.
         if let Some(newest) = newest
             && change.id.is_some()
             && newest.id == change.id
         {
-            return Ok(Checked::Repeated(newest.offset));
+            return Ok(ValidChange::Repeated(newest.offset));
         }
         let newest = newest.map(|setting| setting.offset);
         if newest != change.base {
-            let place = newest.map_or("never".to_owned(), |offset| format!("at offset {offset}"));
-            let message = format!("{} was last changed {place}", change.key);
+            let when = newest.map_or("never".to_owned(), |offset| format!("at offset {offset}"));
+            let message = format!("{} was last changed {when}", change.key);
             return Err(Failure::refused(Code::ConfigConflict, message));
         }
         if change.value.is_null() {
-            return Ok(Checked::New(None));
+            return Ok(ValidChange::New(None));
         }
-        Value::check(&change.key, &change.value).map(|value| Checked::New(Some(value)))
+        Value::check(&change.key, &change.value).map(|value| ValidChange::New(Some(value)))
     }
 
-    fn note(&mut self, verdict: Verdict) {
+    fn add_to_history(&mut self, verdict: Verdict) {
         self.history.push(verdict);
-        if self.history.len() > Self::HISTORY {
+        if self.history.len() > Self::MAX_HISTORY {
             self.history.remove(0);
         }
     }
 }
 
-enum Checked {
+enum ValidChange {
     New(Option<Value>),
     Repeated(Offset),
 }
@@ -439,9 +441,9 @@
     }
 }
 
-fn newer(entry: &[u8]) -> bool {
+fn has_newer_schema(entry: &[u8]) -> bool {
     serde_json::from_slice::<serde_json::Value>(entry)
         .ok()
         .and_then(|value| value.get("schema")?.as_u64())
-        .is_some_and(|schema| schema > u64::from(SCHEMA))
+        .is_some_and(|schema| schema > u64::from(SUPPORTED_SCHEMA))
 }
--- a/src/config/duty.rs
+++ b/src/config/duty.rs
@@ -1,4 +1,4 @@
-//! The configuration thread: follows the stream and publishes what is in force.
+//! The configuration task: follows the stream and publishes the effective configuration.
 
 use super::book::{Book, Ruling, Verdict};
 use super::value::Snapshot;
@@ -16,42 +16,42 @@
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
-/// How long one read waits for a change.
-const READ_WAIT: Duration = Duration::from_secs(1);
-/// The pause after a failed read.
+/// Long-poll timeout of one read of the stream.
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay after a failed read.
 const BACKOFF: Duration = Duration::from_millis(300);
-/// How long a VM that sees neither the log nor any peer goes on admitting programs.
-const CUT_OFF: Duration = Duration::from_secs(5);
+/// A VM that reaches neither the log nor a peer for this long stops admitting programs.
+const ISOLATION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the configuration thread works with.
+/// Inputs and outputs of the configuration task.
 #[derive(Debug, Clone)]
 pub(crate) struct Context<L> {
     pub(crate) me: Vm,
     pub(crate) log: L,
     pub(crate) links: Links,
     pub(crate) view: watch::Receiver<Arc<View>>,
-    /// Whether the settings name other VMs.
+    /// Whether the settings list other VMs as seeds.
     pub(crate) has_peers: bool,
-    /// How long the log keeps entries.
+    /// How long the log retains entries.
     pub(crate) retention: Duration,
     pub(crate) snapshots: watch::Sender<Arc<Snapshot>>,
     pub(crate) books: watch::Sender<Arc<Book>>,
     pub(crate) stop: CancellationToken,
 }
 
-/// Follows the configuration until the token is cancelled.
+/// Follows the configuration until `context.stop` is cancelled.
 pub(crate) async fn run<L: Log>(context: Context<L>) {
     let mut book = Book::default();
-    let mut reached = Instant::now();
+    let mut last_read = Instant::now();
     loop {
         let read = tokio::select! {
-            read = context.log.read(CONFIG, book.read_from(), READ_WAIT) => read,
+            read = context.log.read(CONFIG, book.next_offset(), READ_TIMEOUT) => read,
             () = context.stop.cancelled() => return,
         };
         match read {
             Ok(page) => {
-                reached = Instant::now();
-                take(&mut book, page);
+                last_read = Instant::now();
+                apply_page(&mut book, page);
                 context.write_checkpoint(&book).await;
             }
             Err(fault) => {
@@ -59,22 +59,22 @@
                 sleep(BACKOFF).await;
             }
         }
-        context.ask_peers(&mut book, reached).await;
-        context.publish(&book, reached);
+        context.sync_with_peers(&mut book, last_read).await;
+        context.publish(&book, last_read);
     }
 }
 
-fn take(book: &mut Book, page: Page) {
+fn apply_page(book: &mut Book, page: Page) {
     book.trimmed(page.first);
     for entry in page.entries {
-        tell(&book.take(entry.offset, &entry.data));
+        log_verdict(&book.take(entry.offset, &entry.data));
     }
-    if book.read_from() >= page.next {
+    if book.next_offset() >= page.next {
         book.caught_up();
     }
 }
 
-fn tell(verdict: &Verdict) {
+fn log_verdict(verdict: &Verdict) {
     let Verdict {
         offset,
         key,
@@ -101,16 +101,16 @@
 }
 
 impl<L: Log> Context<L> {
-    /// Takes over what a peer has seen of the stream, where this VM can't read it itself.
+    /// Copies the configuration from the most recent peer if this VM can't read the stream.
     ///
-    /// A VM that starts while the log is down, or that has been cut off from it, would otherwise
-    /// serve by an older configuration than the others, or not at all.
-    async fn ask_peers(&self, book: &mut Book, reached: Instant) {
-        let reading = reached.elapsed() < READ_WAIT * 2 && !book.has_gap();
-        if reading {
+    /// Otherwise a VM that starts during a log outage, or loses its connection to the log, would
+    /// have an outdated configuration or none.
+    async fn sync_with_peers(&self, book: &mut Book, last_read: Instant) {
+        let reads_log = last_read.elapsed() < READ_TIMEOUT * 2 && !book.has_gap();
+        if reads_log {
             return;
         }
-        let Some((address, applied)) = self.freshest() else {
+        let Some((address, applied)) = self.most_recent_peer() else {
             return;
         };
         if applied > book.applied()
@@ -129,7 +129,8 @@
         }
     }
 
-    fn freshest(&self) -> Option<(SocketAddr, Offset)> {
+    /// The peer that has applied most of the stream, and its offset.
+    fn most_recent_peer(&self) -> Option<(SocketAddr, Offset)> {
         let view = self.view.borrow();
         let others = view.members.values().filter(|member| member.vm != self.me);
         others
@@ -137,12 +138,12 @@
             .max_by_key(|(_, applied)| *applied)
     }
 
-    fn publish(&self, book: &Book, reached: Instant) {
+    fn publish(&self, book: &Book, last_read: Instant) {
         let mut snapshot = book.snapshot();
-        // With peers in view a silent log is an outage of the platform, which stops nobody. Alone
-        // and without the log, the others may long have another configuration.
-        let alone = self.has_peers && self.freshest().is_none();
-        snapshot.cut_off = alone && reached.elapsed() > CUT_OFF;
+        // A log outage alone is harmless. Without peers as well, the other VMs may have a newer
+        // configuration that this one can't see.
+        let without_peers = self.has_peers && self.most_recent_peer().is_none();
+        snapshot.cut_off = without_peers && last_read.elapsed() > ISOLATION_TIMEOUT;
         if snapshot != **self.snapshots.borrow() {
             self.snapshots.send_replace(Arc::new(snapshot));
         }
@@ -151,17 +152,17 @@
         }
     }
 
-    /// Writes the settings back before the log trims the changes that made them.
+    /// Writes a checkpoint before the log trims the changes that it covers.
     ///
-    /// One VM does it, by rendezvous; two that both do it harm nothing, as a reader that has seen
-    /// the changes passes over checkpoints.
+    /// Rendezvous hashing picks one VM. Duplicate checkpoints are harmless: a reader without a gap
+    /// ignores them.
     async fn write_checkpoint(&self, book: &Book) {
-        let first = self
+        let writer = self
             .view
             .borrow()
             .first("config/checkpoint")
             .map(|member| member.vm.clone());
-        if first.as_ref() != Some(&self.me) {
+        if writer.as_ref() != Some(&self.me) {
             return;
         }
         let age_ms = u64::try_from(self.retention.as_millis() / 2).unwrap_or(u64::MAX);
--- a/src/config/value.rs
+++ b/src/config/value.rs
@@ -1,4 +1,4 @@
-//! The values that the configuration holds.
+//! Configuration values and their validation.
 
 use crate::code::{Code, Failure};
 use crate::id;
@@ -8,37 +8,37 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Loads of weights a minute where the configuration says nothing of the store.
-const DEFAULT_LOADS: u32 = 10;
+/// Limit on weight loads if the configuration has no `store/weights`.
+const DEFAULT_LOADS_PER_MINUTE: u32 = 10;
 
-/// A class of programs. Operators state the target; the limits have defaults.
+/// A class of programs with its latency target and limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// How long a whole program of this class should take at most, in milliseconds.
+    /// Latency target of a whole program, in milliseconds.
     pub target_ms: u64,
-    /// Whether a caller waits for the end; work without one may run overnight.
+    /// Whether a caller waits for the result; false for background work, which may be deferred.
     #[serde(default = "Class::default_waiting")]
     pub waiting: bool,
-    /// Calls that one program may make.
+    /// Maximum number of calls of one program.
     #[serde(default = "Class::default_turns")]
     pub turns: u64,
-    /// How deep children may be nested.
+    /// Maximum nesting depth of child programs.
     #[serde(default = "Class::default_depth")]
     pub depth: u32,
-    /// Children that one program may spawn.
+    /// Maximum number of children that one program may spawn.
     #[serde(default = "Class::default_children")]
     pub children: usize,
-    /// Bytes that the history may have.
+    /// Maximum size of the conversation history of a program, in bytes.
     #[serde(default = "Class::default_history")]
     pub history_bytes: usize,
-    /// How long a program may be open, in milliseconds.
+    /// Maximum time that a program may stay open, in milliseconds.
     #[serde(default = "Class::default_limit")]
     pub limit_ms: u64,
-    /// How long one call may take, in milliseconds.
+    /// Timeout of one call, in milliseconds.
     #[serde(default = "Class::default_call")]
     pub call_ms: u64,
-    /// How long answers are kept after the end, in milliseconds.
+    /// How long answers are kept after the program ends, in milliseconds.
     #[serde(default = "Class::default_keep")]
     pub keep_ms: u64,
 }
@@ -77,29 +77,29 @@
     }
 }
 
-/// A model engine of a pool.
+/// A backend server: a model engine of a pool or a server of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// Its name, unique among backend servers.
+    /// Name, unique among all backend servers.
     #[schemars(with = "String")]
     pub name: id::Server,
-    /// Where it listens.
+    /// IP address and port on which the server listens.
     pub address: SocketAddr,
-    /// The availability zone it stands in.
+    /// Availability zone of the server.
     #[serde(default)]
     #[schemars(with = "Option<String>")]
     pub zone: Option<id::Zone>,
 }
 
-/// Whether the engines of a pool refuse orders with an old fencing number.
+/// Whether the engines of a pool reject orders with a stale fencing token.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// They refuse them.
+    /// Engines reject stale fencing tokens.
     #[default]
     Checked,
-    /// They take any order.
+    /// Engines accept any order.
     Ignored,
 }
 
@@ -107,42 +107,42 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// The model.
+    /// Model that the pool serves.
     #[schemars(with = "String")]
     pub model: id::Model,
-    /// The engines.
+    /// Engines of the pool.
     pub engines: Vec<Engine>,
-    /// Whether they check fencing numbers.
+    /// Whether the engines check fencing tokens.
     #[serde(default)]
     pub fencing: Fencing,
-    /// The version of the weights that they should have loaded.
+    /// Desired version of the model weights.
     #[serde(default)]
     pub weights: Option<String>,
-    /// The adapters that they should have loaded.
+    /// Desired set of adapters.
     #[serde(default)]
     pub adapters: BTreeSet<String>,
-    /// The role that they should have.
+    /// Desired role of the engines.
     #[serde(default)]
     pub role: Option<String>,
 }
 
-/// The store that engines load weights from, under `store/weights`.
+/// The store from which engines load model weights (`store/weights`).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// Loads that all pools together may start in a minute.
+    /// Maximum number of loads that all pools together start per minute.
     pub loads_per_minute: u32,
 }
 
-/// How a call of an operation may be repeated.
+/// Whether a call of an operation may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// It may be sent again.
+    /// Idempotent: the call may be sent again.
     Repeatable,
-    /// The service deduplicates by the key that goes with it.
+    /// The service deduplicates calls by their idempotency key.
     Keyed,
-    /// It is sent at most once.
+    /// The call is sent at most once.
     Once,
 }
 
@@ -150,12 +150,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Operation {
-    /// How it may be repeated.
+    /// Whether a call may be retried.
     pub mode: Mode,
-    /// Path where the service tells whether a key took effect; for `once` operations.
+    /// For `once` operations: path at which the service reports whether a call took effect.
     #[serde(default)]
     pub status: Option<String>,
-    /// How long one attempt may take, in milliseconds.
+    /// Timeout of one attempt, in milliseconds.
     #[serde(default = "Operation::default_timeout")]
     pub timeout_ms: u64,
 }
@@ -165,20 +165,20 @@
         10_000
     }
 
-    /// How long one attempt may take.
+    /// Timeout of one attempt.
     #[must_use]
     pub const fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 }
 
-/// A plain service.
+/// A service other than a model engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The servers, each able to answer any call.
+    /// Equivalent servers of the service; each can answer any call.
     pub servers: Vec<Engine>,
-    /// The operations by name.
+    /// Operations by name.
     #[schemars(with = "BTreeMap<String, Operation>")]
     pub operations: BTreeMap<id::Operation, Operation>,
 }
@@ -198,7 +198,7 @@
 }
 
 impl Value {
-    /// Reads and checks the value of `key`; a fault names its path.
+    /// Parses and validates the value of `key`; an error message contains the JSON path.
     ///
     /// ```
     /// use vanillatrail::config::Value;
@@ -208,44 +208,44 @@
     /// ```
     ///
     /// # Errors
-    /// [`Code::BadConfig`] with the path and the reason.
+    /// [`Code::BadConfig`] with the JSON path and the reason.
     pub fn check(key: &str, value: &serde_json::Value) -> Result<Self, Failure> {
         let (kind, name) = key.split_once('/').unwrap_or((key, ""));
         if name.parse::<id::Class>().is_err() {
-            return Err(bad(key, ".", "the key is not KIND/NAME"));
+            return Err(invalid(key, ".", "the key is not of the form KIND/NAME"));
         }
         match kind {
             "class" => {
-                let class: Class = read(key, value)?;
-                let whole = [
+                let class: Class = parse(key, value)?;
+                let must_be_positive = [
                     (class.target_ms, "target_ms"),
                     (class.turns, "turns"),
                     (class.limit_ms, "limit_ms"),
                     (class.call_ms, "call_ms"),
                 ];
-                if let Some((_, path)) = whole.iter().find(|(number, _)| *number == 0) {
-                    return Err(bad(key, path, "zero"));
+                if let Some((_, path)) = must_be_positive.iter().find(|(number, _)| *number == 0) {
+                    return Err(invalid(key, path, "zero"));
                 }
                 Ok(Self::Class(class))
             }
             "pool" => {
-                let pool: Pool = read(key, value)?;
-                distinct(key, "engines", &pool.engines)?;
+                let pool: Pool = parse(key, value)?;
+                check_unique_names(key, "engines", &pool.engines)?;
                 Ok(Self::Pool(pool))
             }
             "service" => {
-                let service: Service = read(key, value)?;
-                distinct(key, "servers", &service.servers)?;
+                let service: Service = parse(key, value)?;
+                check_unique_names(key, "servers", &service.servers)?;
                 Ok(Self::Service(service))
             }
             "store" if name == "weights" => {
-                let store: Store = read(key, value)?;
+                let store: Store = parse(key, value)?;
                 if store.loads_per_minute == 0 {
-                    return Err(bad(key, "loads_per_minute", "zero"));
+                    return Err(invalid(key, "loads_per_minute", "zero"));
                 }
                 Ok(Self::Store(store))
             }
-            _ => Err(bad(
+            _ => Err(invalid(
                 key,
                 ".",
                 "the key is not class/…, pool/…, service/… or store/weights",
@@ -254,33 +254,37 @@
     }
 }
 
-fn bad(key: &str, path: &str, reason: &str) -> Failure {
+fn invalid(key: &str, path: &str, reason: &str) -> Failure {
     Failure::refused(Code::BadConfig, format!("{key} at `{path}`: {reason}"))
 }
 
-fn read<T: serde::de::DeserializeOwned>(
+fn parse<T: serde::de::DeserializeOwned>(
     key: &str,
     value: &serde_json::Value,
 ) -> Result<T, Failure> {
     serde_path_to_error::deserialize(value)
-        .map_err(|error| bad(key, &error.path().to_string(), &error.inner().to_string()))
+        .map_err(|error| invalid(key, &error.path().to_string(), &error.inner().to_string()))
 }
 
-fn distinct(key: &str, path: &str, engines: &[Engine]) -> Result<(), Failure> {
+fn check_unique_names(key: &str, path: &str, engines: &[Engine]) -> Result<(), Failure> {
     let mut names = std::collections::BTreeSet::new();
     match engines
         .iter()
         .position(|engine| !names.insert(&engine.name))
     {
-        Some(index) => Err(bad(key, &format!("{path}[{index}].name"), "stands twice")),
+        Some(index) => Err(invalid(
+            key,
+            &format!("{path}[{index}].name"),
+            "duplicate name",
+        )),
         None => Ok(()),
     }
 }
 
-/// The configuration in force at one offset.
+/// The effective configuration at one offset.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Snapshot {
-    /// Every record before this offset has been taken in.
+    /// The snapshot includes every entry before this offset.
     pub applied: id::Offset,
     /// Classes by name.
     pub classes: BTreeMap<id::Class, Class>,
@@ -288,18 +292,18 @@
     pub pools: BTreeMap<id::Model, Pool>,
     /// Services by name.
     pub services: BTreeMap<id::Service, Service>,
-    /// The weight store.
+    /// Limits of the weight store; `None` applies the defaults.
     pub store: Option<Store>,
-    /// Whether the log has been read to its end since the start.
+    /// Whether the stream has been read to its end since the process started.
     pub caught_up: bool,
-    /// A record of a newer schema was met: this build must not judge what follows.
+    /// Whether the stream has an entry with a schema newer than this build supports.
     pub newer_schema: bool,
-    /// Neither the log nor any peer has been seen for a while.
+    /// Whether neither the log nor any peer was reachable for some seconds.
     pub cut_off: bool,
 }
 
 impl Snapshot {
-    /// Whether programs may be admitted under this configuration.
+    /// Whether this VM may admit programs: its configuration is complete and current.
     ///
     /// ```
     /// assert!(!vanillatrail::config::Snapshot::default().admits());
@@ -309,10 +313,10 @@
         self.caught_up && !self.newer_schema && !self.cut_off
     }
 
-    /// The least time between two loads that one pool starts.
+    /// Minimum time between two weight loads of one pool.
     ///
-    /// The store's limit is split evenly over the pools, so that their controllers, on whichever
-    /// VMs, keep to it together without asking each other.
+    /// The limit of the store is split evenly over the pools, so that their controllers on
+    /// different VMs need no coordination.
     ///
     /// ```
     /// use std::time::Duration;
@@ -324,25 +328,25 @@
         let loads = self
             .store
             .as_ref()
-            .map_or(DEFAULT_LOADS, |store| store.loads_per_minute);
+            .map_or(DEFAULT_LOADS_PER_MINUTE, |store| store.loads_per_minute);
         let pools = u32::try_from(self.pools.len().max(1)).unwrap_or(u32::MAX);
         Duration::from_mins(1) * pools / loads.max(1)
     }
 
-    /// The class of this name.
+    /// Looks up a class by name.
     ///
     /// # Errors
-    /// [`Code::UnknownClass`] when there is none.
+    /// [`Code::UnknownClass`] if it does not exist.
     pub fn class(&self, name: &id::Class) -> Result<&Class, Failure> {
         self.classes.get(name).ok_or_else(|| {
-            Failure::refused(Code::UnknownClass, format!("there is no class {name}"))
+            Failure::refused(Code::UnknownClass, format!("class {name} does not exist"))
         })
     }
 
-    /// The pool that serves `model`, or the only pool when no model is named.
+    /// Looks up the pool that serves `model`; with `None`, the only configured pool.
     ///
     /// # Errors
-    /// [`Code::UnknownModel`] when there is none.
+    /// [`Code::UnknownModel`] if no pool matches.
     pub fn pool(&self, model: Option<&id::Model>) -> Result<&Pool, Failure> {
         let found = match model {
             Some(model) => self.pools.get(model),
@@ -350,15 +354,15 @@
             None => None,
         };
         found.ok_or_else(|| {
-            let name = model.map_or("(none named)", id::Model::as_str);
+            let name = model.map_or("(not specified)", id::Model::as_str);
             Failure::refused(Code::UnknownModel, format!("no pool serves model {name}"))
         })
     }
 
-    /// The service and operation of these names.
+    /// Looks up a service and one of its operations by name.
     ///
     /// # Errors
-    /// [`Code::UnknownService`] when there is none.
+    /// [`Code::UnknownService`] if either does not exist.
     pub fn operation(
         &self,
         service: &id::Service,
@@ -368,7 +372,7 @@
             .get(service)
             .and_then(|found| Some((found, found.operations.get(operation)?)))
             .ok_or_else(|| {
-                let message = format!("there is no operation {service}/{operation}");
+                let message = format!("operation {service}/{operation} does not exist");
                 Failure::refused(Code::UnknownService, message)
             })
     }
