--- a/examples/config.rs
+++ b/examples/config.rs
@@ -2,7 +2,7 @@
 //!
 //!     cargo run --example config
 
-use vanillatrail::config::{Book, Ruling};
+use vanillatrail::config::{Outcome, State};
 use vanillatrail::id::Offset;
 
 fn change(by: &str, base: Option<u64>, target_ms: u64) -> Vec<u8> {
@@ -21,13 +21,13 @@
         change("rui", Some(0), 3000),
         change("rui", Some(1), 0),
     ];
-    let mut readers = [Book::default(), Book::default()];
+    let mut readers = [State::default(), State::default()];
     for (offset, entry) in stream.iter().enumerate() {
         let [one, two] = &mut readers;
-        let verdict = one.take(Offset(offset as u64), entry);
-        assert_eq!(two.take(Offset(offset as u64), entry), verdict);
-        match verdict.ruling {
-            Ruling::Refused(failure) => println!("{offset} by {}: {failure}", verdict.by),
+        let verdict = one.apply(Offset(offset as u64), entry);
+        assert_eq!(two.apply(Offset(offset as u64), entry), verdict);
+        match verdict.outcome {
+            Outcome::Refused(failure) => println!("{offset} by {}: {failure}", verdict.by),
             ruling => println!("{offset} by {}: {ruling:?}", verdict.by),
         }
     }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Time since the Unix epoch; zero where the clock stands before it.
-pub(crate) fn wall() -> Duration {
+pub(crate) fn since_epoch() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -11,5 +11,5 @@
 
 /// Milliseconds since the Unix epoch.
 pub(crate) fn wall_ms() -> u64 {
-    u64::try_from(wall().as_millis()).unwrap_or(u64::MAX)
+    u64::try_from(since_epoch().as_millis()).unwrap_or(u64::MAX)
 }
--- a/src/command/config.rs
+++ b/src/command/config.rs
@@ -3,7 +3,7 @@
 use super::client::Client;
 use super::{Exit, check, paint, print_json, runtime};
 use crate::code::{Code, Failure};
-use crate::config::{Book, Change, Ruling, SUPPORTED_SCHEMA, Verdict};
+use crate::config::{Change, Decision, Outcome, SUPPORTED_SCHEMA, State};
 use crate::id::Offset;
 use crate::journal::CONFIG;
 use crate::platform::{Fault, Http, Log};
@@ -43,12 +43,12 @@
 
 /// Prints the configuration in force, with the offset to base a change on.
 pub(crate) fn show(log: &str, json: bool) -> Result<Exit, Failure> {
-    let book = runtime()?.block_on(read(&Http::new(log), None))?;
-    let values = in_force(&book)?;
+    let state = runtime()?.block_on(read(&Http::new(log), None))?;
+    let values = in_force(&state)?;
     if json {
-        print_json(&json!({ "applied": book.applied(), "values": values }))?;
+        print_json(&json!({ "applied": state.applied(), "values": values }))?;
     } else {
-        println!("applied {}", book.applied());
+        println!("applied {}", state.applied());
         for (key, value) in &values {
             println!("{key} {value}");
         }
@@ -56,14 +56,14 @@
     Ok(Exit::Success)
 }
 
-/// Prints the verdict on each change, oldest first.
+/// Prints the decision on each change, oldest first.
 pub(crate) fn history(log: &str, json: bool) -> Result<Exit, Failure> {
-    let book = runtime()?.block_on(read(&Http::new(log), None))?;
+    let state = runtime()?.block_on(read(&Http::new(log), None))?;
     if json {
-        print_json(&book.history())?;
+        print_json(&state.history())?;
     } else {
-        for verdict in book.history() {
-            println!("{}", line(verdict));
+        for decision in state.history() {
+            println!("{}", line(decision));
         }
     }
     Ok(Exit::Success)
@@ -91,14 +91,14 @@
     };
     let after = Offset(last.0 + 1);
     let judged = read(&log, Some(after)).await?;
-    let verdicts = judged.history().iter();
-    let verdicts = verdicts.filter(|verdict| ours.contains(&verdict.offset));
-    let verdicts: Vec<Verdict> = verdicts.cloned().collect();
+    let decisions = judged.history().iter();
+    let decisions = decisions.filter(|decision| ours.contains(&decision.offset));
+    let decisions: Vec<Decision> = decisions.cloned().collect();
     let mut in_force = None;
     if !apply.wait.is_empty() {
         in_force = Some(wait(apply, after).await);
     }
-    report(apply, &verdicts, in_force)
+    report(apply, &decisions, in_force)
 }
 
 /// Appends a change; its id makes it safe to append again when the reply was lost.
@@ -119,7 +119,7 @@
 /// The changes that bring the keys of `wanted` from what was seen to what is wanted.
 fn changes(
     apply: &Apply,
-    seen: &Book,
+    seen: &State,
     wanted: &Map<String, Value>,
 ) -> Result<Vec<Change>, Failure> {
     let current = in_force(seen)?;
@@ -157,8 +157,8 @@
     Ok(inner.cloned().unwrap_or_default())
 }
 
-fn in_force(book: &Book) -> Result<Map<String, Value>, Failure> {
-    let settings = book.settings().iter();
+fn in_force(state: &State) -> Result<Map<String, Value>, Failure> {
+    let settings = state.settings().iter();
     settings
         .filter_map(|(key, setting)| Some((key.clone(), setting.value.as_ref()?)))
         .map(|(key, value)| Ok((key, bare(value)?)))
@@ -175,34 +175,34 @@
 }
 
 /// Folds the stream up to its end, or up to `until`.
-async fn read(log: &Http, until: Option<Offset>) -> Result<Book, Failure> {
-    let mut book = Book::default();
+async fn read(log: &Http, until: Option<Offset>) -> Result<State, Failure> {
+    let mut state = State::default();
     let mut next = Offset(0);
     loop {
         let page = log.read(CONFIG, next, Duration::ZERO).await;
         let page = page.map_err(|fault| Failure::refused(Code::Unreachable, fault.to_string()))?;
-        book.trimmed(page.first);
+        state.note_trimmed(page.first);
         next = next.max(page.first);
         for entry in page.entries {
             if until.is_some_and(|until| entry.offset >= until) {
-                return whole(book);
+                return whole(state);
             }
             next = Offset(entry.offset.0 + 1);
-            book.take(entry.offset, &entry.data);
+            state.apply(entry.offset, &entry.data);
         }
         if next >= page.next {
-            return whole(book);
+            return whole(state);
         }
     }
 }
 
-/// A book without the changes that the log has trimmed would give other verdicts than the VMs.
-fn whole(book: Book) -> Result<Book, Failure> {
-    if book.has_gap() {
+/// A book without the changes that the log has trimmed would give other decisions than the VMs.
+fn whole(state: State) -> Result<State, Failure> {
+    if state.has_gap() {
         let message = "the log no longer keeps the changes up to there; use a newer base";
         return Err(Failure::refused(Code::HistoryGap, message));
     }
-    Ok(book)
+    Ok(state)
 }
 
 /// On how many of the VMs the configuration up to `offset` is in force, once all or the limit.
@@ -223,26 +223,28 @@
     }
 }
 
-fn report(apply: &Apply, verdicts: &[Verdict], in_force: Option<usize>) -> Result<Exit, Failure> {
+fn report(apply: &Apply, decisions: &[Decision], in_force: Option<usize>) -> Result<Exit, Failure> {
     let asked = apply.wait.len();
     if apply.json {
         let waited = in_force.map(|vms| json!({ "vms": vms, "of": asked }));
-        print_json(&json!({ "changes": verdicts, "in_force": waited }))?;
+        print_json(&json!({ "changes": decisions, "in_force": waited }))?;
     } else {
-        for verdict in verdicts {
-            println!("{}", line(verdict));
+        for decision in decisions {
+            println!("{}", line(decision));
         }
-        if verdicts.is_empty() {
+        if decisions.is_empty() {
             println!("nothing differs");
         }
         if let Some(vms) = in_force {
             println!("in force on {vms} of {asked} VMs");
         }
     }
-    let refusal = verdicts.iter().find_map(|verdict| match &verdict.ruling {
-        Ruling::Refused(failure) => Some(failure),
-        _ => None,
-    });
+    let refusal = decisions
+        .iter()
+        .find_map(|decision| match &decision.outcome {
+            Outcome::Refused(failure) => Some(failure),
+            _ => None,
+        });
     Ok(match refusal {
         Some(failure) => Exit::from(failure),
         None if in_force.is_some_and(|vms| vms < asked) => Exit::Failed,
@@ -250,16 +252,16 @@
     })
 }
 
-fn line(verdict: &Verdict) -> String {
-    let ruling = match &verdict.ruling {
-        Ruling::Accepted => paint::good("accepted"),
-        Ruling::Repeated(of) => format!("repeats {of}"),
-        Ruling::Refused(failure) => format!("{} {failure}", paint::bad("refused")),
-        Ruling::Checkpoint => return format!("{} checkpoint", verdict.offset),
-        Ruling::Held => "held".to_owned(),
+fn line(decision: &Decision) -> String {
+    let outcome = match &decision.outcome {
+        Outcome::Accepted => paint::good("accepted"),
+        Outcome::Repeated(of) => format!("repeats {of}"),
+        Outcome::Refused(failure) => format!("{} {failure}", paint::bad("refused")),
+        Outcome::Checkpoint => return format!("{} checkpoint", decision.offset),
+        Outcome::Deferred => "held".to_owned(),
     };
     format!(
-        "{} {} by {}: {ruling}",
-        verdict.offset, verdict.key, verdict.by
+        "{} {} by {}: {outcome}",
+        decision.offset, decision.key, decision.by
     )
 }
--- a/src/config/duty.rs
+++ b/src/config/duty.rs
@@ -1,6 +1,6 @@
 //! The configuration task: follows the stream and publishes the effective configuration.
 
-use super::book::{Book, Ruling, Verdict};
+use super::state::{Decision, Outcome, State};
 use super::value::Snapshot;
 use crate::clock::wall_ms;
 use crate::id::{Offset, Vm};
@@ -35,58 +35,58 @@
     /// How long the log retains entries.
     pub(crate) retention: Duration,
     pub(crate) snapshots: watch::Sender<Arc<Snapshot>>,
-    pub(crate) books: watch::Sender<Arc<Book>>,
+    pub(crate) states: watch::Sender<Arc<State>>,
     pub(crate) stop: CancellationToken,
 }
 
 /// Follows the configuration until `context.stop` is cancelled.
 pub(crate) async fn run<L: Log>(context: Context<L>) {
-    let mut book = Book::default();
+    let mut state = State::default();
     let mut last_read = Instant::now();
     loop {
         let read = tokio::select! {
-            read = context.log.read(CONFIG, book.next_offset(), READ_TIMEOUT) => read,
+            read = context.log.read(CONFIG, state.next_offset(), READ_TIMEOUT) => read,
             () = context.stop.cancelled() => return,
         };
         match read {
             Ok(page) => {
                 last_read = Instant::now();
-                apply_page(&mut book, page);
-                context.write_checkpoint(&book).await;
+                apply_page(&mut state, page);
+                context.write_checkpoint(&state).await;
             }
             Err(fault) => {
                 event!(warn, "config_read_failed", reason = fault);
                 sleep(BACKOFF).await;
             }
         }
-        context.sync_with_peers(&mut book, last_read).await;
-        context.publish(&book, last_read);
+        context.sync_with_peers(&mut state, last_read).await;
+        context.publish(&state, last_read);
     }
 }
 
-fn apply_page(book: &mut Book, page: Page) {
-    book.trimmed(page.first);
+fn apply_page(state: &mut State, page: Page) {
+    state.note_trimmed(page.first);
     for entry in page.entries {
-        log_verdict(&book.take(entry.offset, &entry.data));
+        log_decision(&state.apply(entry.offset, &entry.data));
     }
-    if book.next_offset() >= page.next {
-        book.caught_up();
+    if state.next_offset() >= page.next {
+        state.mark_caught_up();
     }
 }
 
-fn log_verdict(verdict: &Verdict) {
-    let Verdict {
+fn log_decision(decision: &Decision) {
+    let Decision {
         offset,
         key,
-        ruling,
+        outcome,
         ..
-    } = verdict;
-    match ruling {
-        Ruling::Accepted => event!(info, "config_accepted", key = key, offset = offset),
-        Ruling::Repeated(of) => {
+    } = decision;
+    match outcome {
+        Outcome::Accepted => event!(info, "config_accepted", key = key, offset = offset),
+        Outcome::Repeated(of) => {
             event!(info, "config_repeated", key = key, offset = offset, of = of);
         }
-        Ruling::Refused(failure) => {
+        Outcome::Refused(failure) => {
             event!(
                 warn,
                 "config_refused",
@@ -95,8 +95,8 @@
                 reason = failure
             );
         }
-        Ruling::Checkpoint => event!(info, "config_checkpoint", offset = offset),
-        Ruling::Held => event!(warn, "config_held", offset = offset),
+        Outcome::Checkpoint => event!(info, "config_checkpoint", offset = offset),
+        Outcome::Deferred => event!(warn, "config_held", offset = offset),
     }
 }
 
@@ -105,27 +105,27 @@
     ///
     /// Otherwise a VM that starts during a log outage, or loses its connection to the log, would
     /// have an outdated configuration or none.
-    async fn sync_with_peers(&self, book: &mut Book, last_read: Instant) {
-        let reads_log = last_read.elapsed() < READ_TIMEOUT * 2 && !book.has_gap();
+    async fn sync_with_peers(&self, state: &mut State, last_read: Instant) {
+        let reads_log = last_read.elapsed() < READ_TIMEOUT * 2 && !state.has_gap();
         if reads_log {
             return;
         }
         let Some((address, applied)) = self.most_recent_peer() else {
             return;
         };
-        if applied > book.applied()
+        if applied > state.applied()
             && let Ok(other) = self.links.config(address).await
-            && book.adopt(other)
+            && state.adopt_newer(other)
         {
             event!(
                 info,
                 "config_from_peer",
                 peer = address,
-                applied = book.applied()
+                applied = state.applied()
             );
         }
-        if book.applied() >= applied && applied > Offset(0) {
-            book.caught_up();
+        if state.applied() >= applied && applied > Offset(0) {
+            state.mark_caught_up();
         }
     }
 
@@ -138,8 +138,8 @@
             .max_by_key(|(_, applied)| *applied)
     }
 
-    fn publish(&self, book: &Book, last_read: Instant) {
-        let mut snapshot = book.snapshot();
+    fn publish(&self, state: &State, last_read: Instant) {
+        let mut snapshot = state.snapshot();
         // A log outage alone is harmless. Without peers as well, the other VMs may have a newer
         // configuration that this one can't see.
         let without_peers = self.has_peers && self.most_recent_peer().is_none();
@@ -147,8 +147,8 @@
         if snapshot != **self.snapshots.borrow() {
             self.snapshots.send_replace(Arc::new(snapshot));
         }
-        if book != self.books.borrow().as_ref() {
-            self.books.send_replace(Arc::new(book.clone()));
+        if state != self.states.borrow().as_ref() {
+            self.states.send_replace(Arc::new(state.clone()));
         }
     }
 
@@ -156,7 +156,7 @@
     ///
     /// Rendezvous hashing picks one VM. Duplicate checkpoints are harmless: a reader without a gap
     /// ignores them.
-    async fn write_checkpoint(&self, book: &Book) {
+    async fn write_checkpoint(&self, state: &State) {
         let writer = self
             .view
             .borrow()
@@ -166,7 +166,7 @@
             return;
         }
         let age_ms = u64::try_from(self.retention.as_millis() / 2).unwrap_or(u64::MAX);
-        let Some(checkpoint) = book.checkpoint_due(wall_ms(), age_ms) else {
+        let Some(checkpoint) = state.due_checkpoint(wall_ms(), age_ms) else {
             return;
         };
         let Ok(entry) = serde_json::to_vec(&checkpoint) else {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,11 +1,11 @@
 //! Configuration that operators publish on the log.
 
-mod book;
 mod duty;
+mod state;
 mod value;
 
-pub use book::{Book, Change, Checkpoint, Ruling, Setting, Verdict};
+pub use state::{Change, Checkpoint, Decision, Outcome, Setting, State};
 pub use value::{Class, Engine, Fencing, Mode, Operation, Pool, Service, Snapshot, Store, Value};
 
-pub(crate) use book::SUPPORTED_SCHEMA;
 pub(crate) use duty::{Context, run};
+pub(crate) use state::SUPPORTED_SCHEMA;
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -67,7 +67,7 @@
 /// Result of applying an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
-pub enum Ruling {
+pub enum Outcome {
     /// The change took effect.
     Accepted,
     /// Duplicate of the change accepted at this earlier offset.
@@ -77,13 +77,14 @@
     /// A checkpoint; it changes no setting.
     Checkpoint,
     /// Earlier entries are missing; the entry is applied after a checkpoint covers them.
-    Held,
+    #[serde(rename = "held")]
+    Deferred,
 }
 
 /// The result for the entry at one offset.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Verdict {
+pub struct Decision {
     /// Offset of the entry in the stream.
     pub offset: Offset,
     /// Key that the change sets; empty for a checkpoint or an unreadable entry.
@@ -91,16 +92,17 @@
     /// Operator who made the change; empty for a checkpoint or an unreadable entry.
     pub by: String,
     /// Whether the change took effect.
-    pub ruling: Ruling,
+    #[serde(rename = "ruling")]
+    pub outcome: Outcome,
 }
 
 /// Configuration state built by applying the entries of the stream in order.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Book {
+pub struct State {
     // Removed keys stay as tombstones, so that a change with an older base still conflicts.
     settings: BTreeMap<String, Setting>,
-    history: Vec<Verdict>,
+    history: Vec<Decision>,
     applied: Offset,
     checkpoint_ms: Option<u64>,
     entries_since: u64,
@@ -119,7 +121,7 @@
     deferred: Vec<(Offset, Vec<u8>)>,
 }
 
-impl Book {
+impl State {
     /// Limit on the results kept for operators.
     const MAX_HISTORY: usize = 1000;
     /// A checkpoint is due after this many entries, regardless of its age.
@@ -128,9 +130,9 @@
     /// Offset of the next entry to apply.
     ///
     /// ```
-    /// use vanillatrail::config::Book;
+    /// use vanillatrail::config::State;
     /// use vanillatrail::id::Offset;
-    /// assert_eq!(Book::default().applied(), Offset(0));
+    /// assert_eq!(State::default().applied(), Offset(0));
     /// ```
     #[must_use]
     pub const fn applied(&self) -> Offset {
@@ -140,17 +142,17 @@
     /// The most recent results, oldest first.
     ///
     /// ```
-    /// assert!(vanillatrail::config::Book::default().history().is_empty());
+    /// assert!(vanillatrail::config::State::default().history().is_empty());
     /// ```
     #[must_use]
-    pub fn history(&self) -> &[Verdict] {
+    pub fn history(&self) -> &[Decision] {
         &self.history
     }
 
     /// The newest accepted change of each key, including removals.
     ///
     /// ```
-    /// assert!(vanillatrail::config::Book::default().settings().is_empty());
+    /// assert!(vanillatrail::config::State::default().settings().is_empty());
     /// ```
     #[must_use]
     pub const fn settings(&self) -> &BTreeMap<String, Setting> {
@@ -160,11 +162,11 @@
     /// Whether trimmed entries are missing that no checkpoint has covered yet.
     ///
     /// ```
-    /// use vanillatrail::config::Book;
+    /// use vanillatrail::config::State;
     /// use vanillatrail::id::Offset;
-    /// let mut book = Book::default();
-    /// book.trimmed(Offset(3));
-    /// assert!(book.has_gap());
+    /// let mut state = State::default();
+    /// state.note_trimmed(Offset(3));
+    /// assert!(state.has_gap());
     /// ```
     #[must_use]
     pub const fn has_gap(&self) -> bool {
@@ -174,24 +176,24 @@
     /// Records that the stream has been read to its end.
     ///
     /// ```
-    /// let mut book = vanillatrail::config::Book::default();
-    /// book.caught_up();
-    /// assert!(book.snapshot().caught_up);
+    /// let mut state = vanillatrail::config::State::default();
+    /// state.mark_caught_up();
+    /// assert!(state.snapshot().caught_up);
     /// ```
-    pub fn caught_up(&mut self) {
+    pub fn mark_caught_up(&mut self) {
         self.caught_up = self.gap.is_none();
     }
 
     /// Records that the log has trimmed all entries before `first`.
     ///
     /// ```
-    /// use vanillatrail::config::Book;
+    /// use vanillatrail::config::State;
     /// use vanillatrail::id::Offset;
-    /// let mut book = Book::default();
-    /// book.trimmed(Offset(0));
-    /// assert!(!book.has_gap());
+    /// let mut state = State::default();
+    /// state.note_trimmed(Offset(0));
+    /// assert!(!state.has_gap());
     /// ```
-    pub fn trimmed(&mut self, first: Offset) {
+    pub fn note_trimmed(&mut self, first: Offset) {
         if first <= self.applied {
             return;
         }
@@ -205,11 +207,11 @@
     /// Both apply the same stream by the same rules, so the later state includes the earlier one.
     ///
     /// ```
-    /// use vanillatrail::config::Book;
-    /// let mut book = Book::default();
-    /// assert!(!book.adopt(Book::default()));
+    /// use vanillatrail::config::State;
+    /// let mut state = State::default();
+    /// assert!(!state.adopt_newer(State::default()));
     /// ```
-    pub fn adopt(&mut self, other: Self) -> bool {
+    pub fn adopt_newer(&mut self, other: Self) -> bool {
         if other.applied <= self.applied {
             return false;
         }
@@ -229,14 +231,14 @@
     /// the stream and is therefore the same on every VM.
     ///
     /// ```
-    /// use vanillatrail::config::{Book, Ruling};
+    /// use vanillatrail::config::{State, Outcome};
     /// use vanillatrail::id::Offset;
-    /// let mut book = Book::default();
+    /// let mut state = State::default();
     /// let change = br#"{"schema":1,"key":"class/quick","value":{"target_ms":900},"by":"ama"}"#;
-    /// assert_eq!(book.take(Offset(0), change).ruling, Ruling::Accepted);
-    /// assert_ne!(book.take(Offset(1), change).ruling, Ruling::Accepted);
+    /// assert_eq!(state.apply(Offset(0), change).outcome, Outcome::Accepted);
+    /// assert_ne!(state.apply(Offset(1), change).outcome, Outcome::Accepted);
     /// ```
-    pub fn take(&mut self, offset: Offset, entry: &[u8]) -> Verdict {
+    pub fn apply(&mut self, offset: Offset, entry: &[u8]) -> Decision {
         let parsed = serde_json::from_slice::<Entry>(entry);
         if let Some(mut gap) = self.gap.take() {
             gap.deferred.push((offset, entry.to_vec()));
@@ -249,13 +251,13 @@
                 }
                 _ => self.gap = Some(gap),
             }
-            return verdict(offset, Ruling::Held);
+            return decision(offset, Outcome::Deferred);
         }
-        let verdict = self.evaluate(offset, entry, parsed);
+        let decision = self.evaluate(offset, entry, parsed);
         self.applied = Offset(offset.0 + 1);
         self.entries_since += 1;
-        self.add_to_history(verdict.clone());
-        verdict
+        self.add_to_history(decision.clone());
+        decision
     }
 
     /// Offset of the next entry to read, which is after the deferred entries.
@@ -271,11 +273,11 @@
     /// A checkpoint to write, if the last one is older than `age_ms` or many entries followed it.
     ///
     /// ```
-    /// use vanillatrail::config::Book;
-    /// assert!(Book::default().checkpoint_due(1_000, 60_000).is_none());
+    /// use vanillatrail::config::State;
+    /// assert!(State::default().due_checkpoint(1_000, 60_000).is_none());
     /// ```
     #[must_use]
-    pub fn checkpoint_due(&self, now_ms: u64, age_ms: u64) -> Option<Checkpoint> {
+    pub fn due_checkpoint(&self, now_ms: u64, age_ms: u64) -> Option<Checkpoint> {
         if self.gap.is_some() || !self.caught_up || self.applied == Offset(0) {
             return None;
         }
@@ -296,7 +298,7 @@
     /// The effective configuration.
     ///
     /// ```
-    /// assert!(vanillatrail::config::Book::default().snapshot().classes.is_empty());
+    /// assert!(vanillatrail::config::State::default().snapshot().classes.is_empty());
     /// ```
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
@@ -343,7 +345,7 @@
         }
         for (offset, entry) in gap.deferred {
             if offset >= self.applied {
-                self.take(offset, &entry);
+                self.apply(offset, &entry);
             }
         }
     }
@@ -353,23 +355,23 @@
         offset: Offset,
         entry: &[u8],
         parsed: Result<Entry, serde_json::Error>,
-    ) -> Verdict {
+    ) -> Decision {
         let change = match parsed {
             Ok(Entry::Change(change)) => change,
             Ok(Entry::Checkpoint(checkpoint)) => {
                 self.checkpoint_ms = Some(checkpoint.at_ms);
                 self.entries_since = 0;
-                return verdict(offset, Ruling::Checkpoint);
+                return decision(offset, Outcome::Checkpoint);
             }
             Err(_) => {
                 self.newer_schema |= has_newer_schema(entry);
                 let reason = serde_json::from_slice::<Change>(entry)
                     .map_or_else(|error| error.to_string(), |_| String::new());
                 let failure = Failure::refused(Code::BadConfig, reason);
-                return verdict(offset, Ruling::Refused(failure));
+                return decision(offset, Outcome::Refused(failure));
             }
         };
-        let ruling = match self.check(&change) {
+        let outcome = match self.check(&change) {
             Ok(ValidChange::New(value)) => {
                 let setting = Setting {
                     offset,
@@ -377,16 +379,16 @@
                     id: change.id,
                 };
                 self.settings.insert(change.key.clone(), setting);
-                Ruling::Accepted
+                Outcome::Accepted
             }
-            Ok(ValidChange::Repeated(at)) => Ruling::Repeated(at),
-            Err(failure) => Ruling::Refused(failure),
+            Ok(ValidChange::Repeated(at)) => Outcome::Repeated(at),
+            Err(failure) => Outcome::Refused(failure),
         };
-        Verdict {
+        Decision {
             offset,
             key: change.key,
             by: change.by,
-            ruling,
+            outcome,
         }
     }
 
@@ -419,8 +421,8 @@
         Value::check(&change.key, &change.value).map(|value| ValidChange::New(Some(value)))
     }
 
-    fn add_to_history(&mut self, verdict: Verdict) {
-        self.history.push(verdict);
+    fn add_to_history(&mut self, decision: Decision) {
+        self.history.push(decision);
         if self.history.len() > Self::MAX_HISTORY {
             self.history.remove(0);
         }
@@ -432,12 +434,12 @@
     Repeated(Offset),
 }
 
-fn verdict(offset: Offset, ruling: Ruling) -> Verdict {
-    Verdict {
+fn decision(offset: Offset, outcome: Outcome) -> Decision {
+    Decision {
         offset,
         key: String::new(),
         by: String::new(),
-        ruling,
+        outcome,
     }
 }
 
--- a/src/config/value.rs
+++ b/src/config/value.rs
@@ -306,10 +306,10 @@
     /// Whether this VM may admit programs: its configuration is complete and current.
     ///
     /// ```
-    /// assert!(!vanillatrail::config::Snapshot::default().admits());
+    /// assert!(!vanillatrail::config::Snapshot::default().allows_admission());
     /// ```
     #[must_use]
-    pub const fn admits(&self) -> bool {
+    pub const fn allows_admission(&self) -> bool {
         self.caught_up && !self.newer_schema && !self.cut_off
     }
 
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -251,16 +251,16 @@
 
 fn ready(entry: &Entry) -> Result<(), Failure> {
     let config = entry.config.borrow();
-    if config.admits() {
+    if config.allows_admission() {
         return Ok(());
     }
     let failure = Failure::refused(Code::NotReady, Code::NotReady.meaning());
     Err(failure.retry_after(Duration::from_secs(1)))
 }
 
-fn parameter<T: std::str::FromStr<Err = id::Malformed>>(text: &str) -> Result<T, Failure> {
+fn parameter<T: std::str::FromStr<Err = id::ParseError>>(text: &str) -> Result<T, Failure> {
     text.parse()
-        .map_err(|error: id::Malformed| Failure::refused(Code::BadBody, error.to_string()))
+        .map_err(|error: id::ParseError| Failure::refused(Code::BadBody, error.to_string()))
 }
 
 fn check_budget(path: &str, budget: Budget) -> Result<(), Failure> {
--- a/src/gateway/front/metrics.rs
+++ b/src/gateway/front/metrics.rs
@@ -1,6 +1,6 @@
 //! Counters and histograms of the forwarded requests.
 
-use crate::telemetry::{Exporter, dropped_lines};
+use crate::telemetry::{Exporter, dropped_log_lines};
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram, ObservableCounter};
 use std::cell::RefCell;
@@ -91,7 +91,7 @@
             _dropped: meter
                 .u64_observable_counter("log_lines_dropped")
                 .with_description("Log lines dropped, since nobody read them fast enough")
-                .with_callback(|observer| observer.observe(dropped_lines(), &[]))
+                .with_callback(|observer| observer.observe(dropped_log_lines(), &[]))
                 .build(),
             exporter,
         }
--- a/src/gateway/front/mod.rs
+++ b/src/gateway/front/mod.rs
@@ -82,7 +82,7 @@
         bound(sources::address(settings.listen.peers))?,
         settings.peer_key.clone(),
     );
-    supervisor.duty("feed", move || {
+    supervisor.spawn("feed", move || {
         let socket = relay.try_clone().expect("the system gives a handle");
         feed::run(sources.clone(), socket, key.clone(), worlds.clone())
     });
@@ -155,7 +155,7 @@
     let seeds: Vec<_> = seeds
         .map(|seed| SocketAddr::new(seed.ip(), address.port()))
         .collect();
-    supervisor.duty("member", move || {
+    supervisor.spawn("member", move || {
         let _open = &untold;
         member::run(member::Setup {
             socket: socket.try_clone().expect("the system gives a handle"),
--- a/src/gateway/front/operators.rs
+++ b/src/gateway/front/operators.rs
@@ -88,7 +88,7 @@
             "conversations": self.conversations.size(),
             "idle_connections": self.links.len(),
             "members": view.members.values().map(|member| &member.vm).collect::<Vec<_>>(),
-            "dropped_log_lines": telemetry::dropped_lines(),
+            "dropped_log_lines": telemetry::dropped_log_lines(),
         })
     }
 }
--- a/src/gateway/queue/lease.rs
+++ b/src/gateway/queue/lease.rs
@@ -7,7 +7,7 @@
 use crate::gateway::peers::{Asked, Peer, Question, Reply};
 use crate::gateway::queue::permit::{Held, Permit, Place, no_server, overloaded};
 use crate::gateway::{Gateway, peers};
-use crate::id::{self, rendezvous};
+use crate::id::{self, rendezvous_score};
 use crate::policy::dispatch::{Outcome, Request};
 use crate::telemetry::event;
 use std::cell::RefCell;
@@ -83,7 +83,7 @@
         let enough = id::Millicores(strongest.unwrap_or_default().0 / STRONG);
         let mut ranked: Vec<_> = ready
             .filter(|member| member.cores >= enough)
-            .map(|member| (rendezvous(&key, member.vm.as_str()), member))
+            .map(|member| (rendezvous_score(&key, member.vm.as_str()), member))
             .collect();
         ranked.sort_by_key(|(rank, _)| std::cmp::Reverse(*rank));
         let before = ranked
--- a/src/gateway/tokens/counter.rs
+++ b/src/gateway/tokens/counter.rs
@@ -4,7 +4,7 @@
 use crate::gateway::tokens::keeper::PATIENCE;
 use crate::gateway::tokens::part::Part;
 use crate::gateway::{Gateway, peers};
-use crate::id::{Shard, rendezvous};
+use crate::id::{Shard, rendezvous_score};
 use crate::policy::allowance::{self, Reservation, Verdict};
 use crate::telemetry::event;
 use std::net::SocketAddr;
@@ -52,7 +52,7 @@
             .values()
             .map(|member| {
                 let silent = self.peers.is_silent(peers::address(member.address));
-                let rank = rendezvous(key, member.vm.as_str());
+                let rank = rendezvous_score(key, member.vm.as_str());
                 (member.ready && !silent, rank, member)
             })
             .collect();
--- a/src/gateway/tokens/failover.rs
+++ b/src/gateway/tokens/failover.rs
@@ -5,7 +5,7 @@
 use crate::gateway::tokens::counter::TAKE;
 use crate::gateway::tokens::keeper::PATIENCE;
 use crate::gateway::tokens::part::Part;
-use crate::id::{Offset, Shard, rendezvous};
+use crate::id::{Offset, Shard, rendezvous_score};
 use crate::platform::store::Fault;
 use crate::policy::share::Origin;
 use std::net::SocketAddr;
@@ -154,7 +154,7 @@
         let view = self.view.borrow();
         let key = format!("allowance/{part}");
         let first = view.members.values();
-        let first = first.max_by_key(|member| rendezvous(&key, member.vm.as_str()));
+        let first = first.max_by_key(|member| rendezvous_score(&key, member.vm.as_str()));
         let mine = first.is_some_and(|first| first.vm == self.settings.vm);
         mine && view.owner(Shard(part)).is_none()
     }
--- a/src/id.rs
+++ b/src/id.rs
@@ -7,18 +7,18 @@
 
 /// The text is not a valid identity.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Malformed {
+pub struct ParseError {
     what: &'static str,
     text: String,
 }
 
-impl fmt::Display for Malformed {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "not a valid {}: `{}`", self.what, self.text)
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for ParseError {}
 
 macro_rules! name {
     ($type:ident, $what:literal, $doc:literal) => {
@@ -42,12 +42,12 @@
         }
 
         impl FromStr for $type {
-            type Err = Malformed;
+            type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, Self::Err> {
                 let plain = |c: char| c.is_ascii_alphanumeric() || "-_.:/".contains(c);
                 if text.is_empty() || text.len() > 128 || !text.chars().all(plain) {
-                    return Err(Malformed {
+                    return Err(ParseError {
                         what: $what,
                         text: text.chars().take(40).collect(),
                     });
@@ -57,7 +57,7 @@
         }
 
         impl TryFrom<String> for $type {
-            type Error = Malformed;
+            type Error = ParseError;
 
             fn try_from(text: String) -> Result<Self, Self::Error> {
                 text.parse()
@@ -98,10 +98,10 @@
         }
 
         impl FromStr for $type {
-            type Err = Malformed;
+            type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, Self::Err> {
-                text.parse().map(Self).map_err(|_| Malformed {
+                text.parse().map(Self).map_err(|_| ParseError {
                     what: $what,
                     text: text.into(),
                 })
@@ -227,10 +227,10 @@
 }
 
 impl FromStr for Epoch {
-    type Err = Malformed;
+    type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        text.parse().map(Self).map_err(|_| Malformed {
+        text.parse().map(Self).map_err(|_| ParseError {
             what: "epoch",
             text: text.into(),
         })
@@ -284,10 +284,10 @@
 }
 
 impl FromStr for Program {
-    type Err = Malformed;
+    type Err = ParseError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let malformed = || Malformed {
+        let malformed = || ParseError {
             what: "program id",
             text: text.chars().take(60).collect(),
         };
@@ -306,7 +306,7 @@
 }
 
 impl TryFrom<String> for Program {
-    type Error = Malformed;
+    type Error = ParseError;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
         text.parse()
@@ -353,10 +353,10 @@
 /// A rank for `candidate` under `key`; the highest is the rendezvous choice.
 ///
 /// ```
-/// use vanillatrail::id::rendezvous;
-/// assert_eq!(rendezvous("shard-1", "vm-a"), rendezvous("shard-1", "vm-a"));
+/// use vanillatrail::id::rendezvous_score;
+/// assert_eq!(rendezvous_score("shard-1", "vm-a"), rendezvous_score("shard-1", "vm-a"));
 /// ```
 #[must_use]
-pub fn rendezvous(key: &str, candidate: &str) -> u64 {
+pub fn rendezvous_score(key: &str, candidate: &str) -> u64 {
     xxh3_64(format!("{key}\u{0}{candidate}").as_bytes())
 }
--- a/src/member/duty.rs
+++ b/src/member/duty.rs
@@ -123,5 +123,5 @@
 /// An incarnation that exceeds those of earlier runs, as long as the wall clock goes forward;
 /// where it does not, the VM learns of the earlier run from its peers and raises it.
 fn first_incarnation() -> Incarnation {
-    Incarnation(clock::wall().as_secs().max(1))
+    Incarnation(clock::since_epoch().as_secs().max(1))
 }
--- a/src/member/view.rs
+++ b/src/member/view.rs
@@ -1,6 +1,6 @@
 //! What other duties see of the membership.
 
-use crate::id::{Boot, Epoch, Millicores, Offset, Server, Shard, Vm, Zone, rendezvous};
+use crate::id::{Boot, Epoch, Millicores, Offset, Server, Shard, Vm, Zone, rendezvous_score};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -107,6 +107,6 @@
     #[must_use]
     pub fn first(&self, key: &str) -> Option<&Member> {
         let ready = self.members.values().filter(|member| member.ready);
-        ready.max_by_key(|member| rendezvous(key, member.vm.as_str()))
+        ready.max_by_key(|member| rendezvous_score(key, member.vm.as_str()))
     }
 }
--- a/src/ownership/claimer.rs
+++ b/src/ownership/claimer.rs
@@ -1,6 +1,6 @@
 //! When to claim a shard: after the view has lacked its owner for a while, in rendezvous order.
 
-use crate::id::{Epoch, Shard, Vm, rendezvous};
+use crate::id::{Epoch, Shard, Vm, rendezvous_score};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -133,14 +133,14 @@
             now - self.steady[&member.vm] >= STEADY && (member.held.len() as u64) < even
         });
         let key = format!("shard/{shard}");
-        let taker = takers.max_by_key(|member| rendezvous(&key, member.vm.as_str()))?;
+        let taker = takers.max_by_key(|member| rendezvous_score(&key, member.vm.as_str()))?;
         self.handed = Some(now);
         Some((*shard, taker.vm.clone()))
     }
 
     fn rank(&self, shard: Shard, members: &[Sighting]) -> Option<usize> {
         let key = format!("shard/{shard}");
-        let score = |vm: &Vm| (rendezvous(&key, vm.as_str()), vm.clone());
+        let score = |vm: &Vm| (rendezvous_score(&key, vm.as_str()), vm.clone());
         let mine = score(&self.me);
         let mut eligible = members.iter().filter(|member| member.eligible).peekable();
         eligible.clone().find(|member| member.vm == self.me)?;
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -2,7 +2,7 @@
 
 use super::MESSAGE;
 use crate::code::Failure;
-use crate::config::Book;
+use crate::config::State;
 use crate::dispatch::{Grant, Key};
 use crate::id::Permit;
 use crate::owner::{Frame, Request};
@@ -83,7 +83,7 @@
     }
 
     /// The configuration as the peer at `to` has folded it.
-    pub(crate) async fn config(&self, to: SocketAddr) -> Result<Book, Lost> {
+    pub(crate) async fn config(&self, to: SocketAddr) -> Result<State, Lost> {
         let client = self.client(to).await?;
         client
             .request("config", rpc_params![&self.key])
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -2,7 +2,7 @@
 
 use super::MESSAGE;
 use crate::code::{Code, Failure};
-use crate::config::Book;
+use crate::config::State;
 use crate::dispatch::{self, Grant, Key};
 use crate::id::Permit;
 use crate::owner::{Ask, Frame, Request};
@@ -30,7 +30,7 @@
     pub(crate) key: String,
     pub(crate) owner: flume::Sender<Ask>,
     pub(crate) dispatch: flume::Sender<dispatch::Command>,
-    pub(crate) books: watch::Receiver<Arc<Book>>,
+    pub(crate) books: watch::Receiver<Arc<State>>,
 }
 
 impl Service {
@@ -114,7 +114,7 @@
         .register_method("config", |params, service, _| {
             let key: String = params.one()?;
             service.check(&key)?;
-            Ok::<Book, ErrorObjectOwned>(service.books.borrow().as_ref().clone())
+            Ok::<State, ErrorObjectOwned>(service.books.borrow().as_ref().clone())
         })
         .expect("the name is free");
     module
--- a/src/policy/relay.rs
+++ b/src/policy/relay.rs
@@ -6,7 +6,7 @@
 //! All VMs are ranked by processor time and rendezvous hash. A VM asks only VMs ranked before it, so that no two VMs
 //! wait for each other, and the first reachable VM reads the store.
 
-use crate::id::{Millicores, Vm, Zone, rendezvous};
+use crate::id::{Millicores, Vm, Zone, rendezvous_score};
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -45,7 +45,7 @@
         .iter()
         .map(|peer| {
             let is_large = peer.cores.0 >= largest / LARGE_VM_DIVISOR;
-            (is_large, rendezvous(key, peer.vm.as_str()), peer)
+            (is_large, rendezvous_score(key, peer.vm.as_str()), peer)
         })
         .collect();
     ranked.sort_unstable_by_key(|(is_large, rank, _)| Reverse((*is_large, *rank)));
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::acceptor::NoDelay;
 use crate::code::{Code, Failure};
-use crate::config::{self, Book, Snapshot};
+use crate::config::{self, Snapshot, State};
 use crate::entry::{self, Entry, Router};
 use crate::id::{self, Boot, Millicores, Offset};
 use crate::journal::{self, Pace, Share};
@@ -155,7 +155,7 @@
     local: Arc<watch::Sender<Beat>>,
     config: watch::Receiver<Arc<Snapshot>>,
     view: watch::Receiver<Arc<View>>,
-    books: watch::Receiver<Arc<Book>>,
+    states: watch::Receiver<Arc<State>>,
     owner: flume::Sender<owner::Ask>,
     dispatch: flume::Sender<dispatch::Command>,
     stages: Stages,
@@ -169,7 +169,7 @@
     stages: &Stages,
 ) {
     let (config, config_seen) = watch::channel(Arc::new(Snapshot::default()));
-    let (books, books_seen) = watch::channel(Arc::new(Book::default()));
+    let (states, books_seen) = watch::channel(Arc::new(State::default()));
     let (view, view_seen) = watch::channel(Arc::new(View::default()));
     let (owner, asks) = flume::bounded(RING);
     let (dumps, owner_dumps) = flume::bounded(RING);
@@ -185,12 +185,12 @@
         local: local.clone(),
         config: config_seen,
         view: view_seen,
-        books: books_seen,
+        states: books_seen,
         owner,
         dispatch,
         stages: stages.clone(),
     };
-    wiring.config(supervisor, config, books);
+    wiring.config(supervisor, config, states);
     wiring.member(supervisor, sockets.gossip, view, left);
     wiring.journal(supervisor, journaled, events);
     wiring.dispatch(supervisor, dispatched, leaving);
@@ -206,7 +206,7 @@
         &self,
         supervisor: &mut Supervisor,
         snapshots: watch::Sender<Arc<Snapshot>>,
-        books: watch::Sender<Arc<Book>>,
+        states: watch::Sender<Arc<State>>,
     ) {
         let context = config::Context {
             me: self.settings.vm.clone(),
@@ -220,10 +220,10 @@
                 .any(|seed| *seed != self.settings.listen.peers),
             retention: Duration::from_millis(self.settings.log_retention_ms),
             snapshots,
-            books,
+            states,
             stop: self.stages.rest.clone(),
         };
-        supervisor.duty("config", move || config::run(context.clone()));
+        supervisor.spawn("config", move || config::run(context.clone()));
     }
 
     fn member(
@@ -234,7 +234,7 @@
         leaving: flume::Receiver<id::Server>,
     ) {
         let wiring = self.clone();
-        supervisor.duty("member", move || {
+        supervisor.spawn("member", move || {
             let settings = wiring.settings.clone();
             let (lists, listed) = flume::bounded(LISTS);
             let follow = member::follow(settings.vms, lists);
@@ -267,7 +267,7 @@
             share: Members(self.view.clone()),
         };
         let wiring = self.clone();
-        supervisor.duty("journal", move || {
+        supervisor.spawn("journal", move || {
             let (log, metrics) = (wiring.log.clone(), wiring.metrics.clone());
             let work = journal::run(log, commands.clone(), events.clone(), pace.clone(), metrics);
             let rest = wiring.stages.rest.clone();
@@ -290,7 +290,7 @@
             leaving,
             stop: self.stages.rest.clone(),
         };
-        supervisor.duty("dispatch", move || dispatch::run(context.clone()));
+        supervisor.spawn("dispatch", move || dispatch::run(context.clone()));
     }
 
     fn order(&self, supervisor: &mut Supervisor) {
@@ -300,7 +300,7 @@
             local: self.local.subscribe(),
             stop: self.stages.rest.clone(),
         };
-        supervisor.duty("order", move || order::run(context.clone()));
+        supervisor.spawn("order", move || order::run(context.clone()));
     }
 
     fn owner(
@@ -333,7 +333,7 @@
             leave: self.stages.owner.clone(),
         };
         let stages = self.stages.clone();
-        supervisor.duty("owner", move || {
+        supervisor.spawn("owner", move || {
             let work = owner::run(context.clone(), asks.clone(), events.clone(), dumps.clone());
             let stages = stages.clone();
             async move {
@@ -348,10 +348,10 @@
             key: self.settings.peer_key.clone(),
             owner: self.owner.clone(),
             dispatch: self.dispatch.clone(),
-            books: self.books.clone(),
+            books: self.states.clone(),
         };
         let rest = self.stages.rest.clone();
-        supervisor.duty("peer", move || {
+        supervisor.spawn("peer", move || {
             let listener = listener.try_clone().expect("the system gives a handle");
             peer::serve(listener, service.clone(), rest.clone())
         });
@@ -372,7 +372,7 @@
         };
         let stages = self.stages.clone();
         let bound = Duration::from_millis(self.settings.stop_ms);
-        supervisor.duty("entry", move || {
+        supervisor.spawn("entry", move || {
             let listener = listener.try_clone().expect("the system gives a handle");
             let (routes, stages) = (entry::routes(entry.clone()), stages.clone());
             async move {
@@ -397,7 +397,7 @@
             metrics: self.metrics.clone(),
         };
         let wiring = self.clone();
-        supervisor.duty("operator", move || {
+        supervisor.spawn("operator", move || {
             let listener = listener.try_clone().expect("the system gives a handle");
             let routes = operator::routes(operator.clone());
             let (config, local) = (wiring.config.clone(), wiring.local.clone());
@@ -424,7 +424,7 @@
         // make it ready again, or the balancer sends it callers until it is gone.
         local.send_modify(|beat| {
             beat.applied = snapshot.applied;
-            beat.ready = snapshot.admits() && !stopping.is_cancelled();
+            beat.ready = snapshot.allows_admission() && !stopping.is_cancelled();
         });
         tokio::select! {
             changed = config.changed() => if changed.is_err() { return },
--- a/src/supervisor.rs
+++ b/src/supervisor.rs
@@ -30,7 +30,7 @@
     /// A duty that panics has lost what it held in memory; `start` makes it anew, and what must
     /// last is read back from the log. One that panics again and again would serve nobody, so the
     /// process stops and another VM takes over.
-    pub(crate) fn duty<F, S>(&mut self, name: &'static str, mut start: S)
+    pub(crate) fn spawn<F, S>(&mut self, name: &'static str, mut start: S)
     where
         F: Future<Output = ()>,
         S: FnMut() -> F + Send + 'static,
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -46,7 +46,7 @@
 }
 
 /// How many lines were dropped, since nobody read standard output fast enough.
-pub(crate) fn dropped_lines() -> u64 {
+pub(crate) fn dropped_log_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use support::{Environment, poll};
-use vanillatrail::config::{Book, Ruling};
+use vanillatrail::config::{Outcome, State};
 use vanillatrail::id::Offset;
 
 fn change(key: &str, target_ms: u64, base: Option<u64>, id: Option<&str>) -> Vec<u8> {
@@ -19,12 +19,12 @@
 /// the second is refused with the offset that beat it, and its value is never in force.
 #[test]
 fn of_two_racing_operators_one_wins() {
-    let mut book = Book::default();
-    book.take(Offset(0), &change("class/quick", 900, None, None));
-    let first = book.take(Offset(1), &change("class/quick", 800, Some(0), None));
-    let second = book.take(Offset(2), &change("class/quick", 700, Some(0), None));
-    assert_eq!(first.ruling, Ruling::Accepted);
-    let Ruling::Refused(failure) = second.ruling else {
+    let mut book = State::default();
+    book.apply(Offset(0), &change("class/quick", 900, None, None));
+    let first = book.apply(Offset(1), &change("class/quick", 800, Some(0), None));
+    let second = book.apply(Offset(2), &change("class/quick", 700, Some(0), None));
+    assert_eq!(first.outcome, Outcome::Accepted);
+    let Outcome::Refused(failure) = second.outcome else {
         panic!("{second:?}")
     };
     assert_eq!(failure.code.to_string(), "VT5002");
@@ -36,26 +36,26 @@
 /// as a repetition: it has not lost a race, and it does not undo what another has changed since.
 #[test]
 fn a_change_published_twice_counts_once() {
-    let mut book = Book::default();
-    book.take(Offset(0), &change("class/quick", 900, None, Some("c1")));
-    let copy = book.take(Offset(1), &change("class/quick", 900, None, Some("c1")));
-    assert_eq!(copy.ruling, Ruling::Repeated(Offset(0)));
-    book.take(Offset(2), &change("class/quick", 800, Some(0), Some("c2")));
-    let late = book.take(Offset(3), &change("class/quick", 900, None, Some("c1")));
-    assert!(matches!(late.ruling, Ruling::Refused(_)), "{late:?}");
+    let mut book = State::default();
+    book.apply(Offset(0), &change("class/quick", 900, None, Some("c1")));
+    let copy = book.apply(Offset(1), &change("class/quick", 900, None, Some("c1")));
+    assert_eq!(copy.outcome, Outcome::Repeated(Offset(0)));
+    book.apply(Offset(2), &change("class/quick", 800, Some(0), Some("c2")));
+    let late = book.apply(Offset(3), &change("class/quick", 900, None, Some("c1")));
+    assert!(matches!(late.outcome, Outcome::Refused(_)), "{late:?}");
     let class = "quick".parse().expect("a name");
     assert_eq!(book.snapshot().classes[&class].target_ms, 800);
 }
 
 #[test]
 fn a_record_of_a_newer_schema_stops_admission() {
-    let mut book = Book::default();
-    book.take(
+    let mut book = State::default();
+    book.apply(
         Offset(0),
         br#"{"schema":2,"key":"class/quick","value":{},"by":"ama"}"#,
     );
-    book.caught_up();
-    assert!(!book.snapshot().admits());
+    book.mark_caught_up();
+    assert!(!book.snapshot().allows_admission());
 }
 
 proptest! {
@@ -69,27 +69,27 @@
         steps in prop::collection::vec((0_u8..3, 1_u64..5, 0_u64..12, any::<bool>()), 1..40),
         cut in 0_usize..40,
     ) {
-        let mut whole = Book::default();
+        let mut whole = State::default();
         let mut stream: Vec<Vec<u8>> = Vec::new();
         for (key, target, base, checkpoint) in steps {
             let offset = Offset(stream.len() as u64);
-            whole.caught_up();
-            let entry = match whole.checkpoint_due(0, 0).filter(|_| checkpoint) {
+            whole.mark_caught_up();
+            let entry = match whole.due_checkpoint(0, 0).filter(|_| checkpoint) {
                 Some(checkpoint) => serde_json::to_vec(&checkpoint).expect("JSON"),
                 None => change(&format!("class/c{key}"), target, base.checked_sub(1), None),
             };
-            whole.take(offset, &entry);
+            whole.apply(offset, &entry);
             stream.push(entry);
         }
         let cut = cut.min(stream.len());
-        let mut late = Book::default();
-        late.trimmed(Offset(cut as u64));
+        let mut late = State::default();
+        late.note_trimmed(Offset(cut as u64));
         for (index, entry) in stream.iter().enumerate().skip(cut) {
-            late.take(Offset(index as u64), entry);
+            late.apply(Offset(index as u64), entry);
         }
-        late.caught_up();
+        late.mark_caught_up();
         if late.has_gap() {
-            prop_assert!(!late.snapshot().admits());
+            prop_assert!(!late.snapshot().allows_admission());
         } else {
             prop_assert_eq!(late.settings(), whole.settings());
         }
--- a/tests/limit_handover.rs
+++ b/tests/limit_handover.rs
@@ -6,7 +6,7 @@
 use platform::team::{KEY, WINDOW, busiest, most, servers, tool_call};
 use platform::{Vm, until};
 use std::time::{Duration, Instant};
-use vanillatrail::id::rendezvous;
+use vanillatrail::id::rendezvous_score;
 use xxhash_rust::xxh3::xxh3_64;
 
 const LIMIT: u64 = 10;
@@ -14,7 +14,7 @@
 /// Whether the first of two VMs is the one that should count the team.
 fn counts(first: &Vm, second: &Vm) -> bool {
     let part = xxh3_64(b"team/payroll") % 4;
-    let rank = |vm: &Vm| rendezvous(&format!("allowance/{part}"), &vm.name);
+    let rank = |vm: &Vm| rendezvous_score(&format!("allowance/{part}"), &vm.name);
     rank(first) > rank(second)
 }
 
