--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line; nothing else knows of its library.
+//! Command-line arguments. No other module depends on the argument parser.
 
 use crate::code::{Code, Failure};
 use crate::command::config::Apply;
@@ -13,11 +13,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-const EXIT_CODES: &str = "Exit codes: 0 done; 1 failed; 2 malformed input; 3 an invariant was \
-    broken (trial); 4 an address does not answer; 5 refused, it did not run; 6 sent, its outcome \
-    is not known";
+const EXIT_CODES: &str = "Exit codes: 0 success; 1 failure; 2 invalid input; 3 invariant violated \
+    (trial); 4 address unreachable; 5 request refused, nothing was run; 6 request sent, outcome \
+    unknown";
 
-/// A scheduler for agent programs whose callers are impatient.
+/// A scheduler for latency-sensitive agent programs.
 #[derive(Debug, Parser)]
 #[command(version, max_term_width = 100, after_help = EXIT_CODES)]
 struct Arguments {
@@ -27,42 +27,42 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run stand-ins, three VMs and their callers in this process, and count what happened.
+    /// Run a load test in this process: three VMs, callers and simulated backend servers.
     #[command(after_help = "Example: vanillatrail trial --seed 7 --programs 500 --json")]
     Trial(Trial),
-    /// Serve as one VM.
+    /// Run the scheduler of one VM.
     #[command(after_help = "Example: vanillatrail serve --settings vm-a.json")]
     Serve {
-        /// The settings file.
+        /// Settings file of the VM.
         #[arg(long)]
         settings: PathBuf,
     },
-    /// Forward requests of callers to backend servers as one VM.
+    /// Run the gateway of one VM, which forwards callers' requests to backend servers.
     #[command(after_help = "Example: vanillatrail gateway --settings gateway-a.json")]
     Gateway {
-        /// The settings file.
+        /// Settings file of the gateway.
         #[arg(long)]
         settings: PathBuf,
     },
-    /// Run a small stand-in for the platform or a backend server.
+    /// Run a simulated platform service or backend server for tests.
     #[command(after_help = "Example: vanillatrail standin engine --listen 127.0.0.1:7011")]
     Standin {
-        /// Which.
+        /// What to simulate.
         #[arg(value_enum)]
         kind: Standin,
-        /// Where it listens.
+        /// Address to listen on.
         #[arg(long)]
         listen: SocketAddr,
     },
-    /// Check a settings file, or a configuration file.
+    /// Validate a settings file or a configuration file.
     #[command(after_help = "Example: vanillatrail check --config config.json")]
     Check {
-        /// The file.
+        /// File to validate.
         file: PathBuf,
-        /// The file holds configuration values by key.
+        /// The file contains configuration values by key.
         #[arg(long)]
         config: bool,
-        /// The file holds the settings of a VM that forwards requests of callers.
+        /// The file contains the settings of a gateway.
         #[arg(long, conflicts_with = "config")]
         gateway: bool,
         /// Print JSON.
@@ -72,51 +72,51 @@
     /// Show or change the configuration on the log.
     #[command(subcommand)]
     Config(Config),
-    /// Show what VMs hold in memory.
+    /// Show the in-memory state of VMs.
     #[command(after_help = "Example: vanillatrail state 127.0.0.1:7301 127.0.0.1:7302")]
     State {
-        /// Addresses of VMs for operators.
+        /// Operator addresses of the VMs.
         #[arg(required = true)]
         vms: Vec<SocketAddr>,
-        /// Print JSON, complete.
+        /// Print the complete state as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Tell from the logs of gateways where time went, or the story of one request or program.
+    /// Summarize gateway logs, or print the log lines of one request or program.
     #[command(after_help = "Example: vanillatrail explain --id 9c41d07be2a35f68 vm-a.log vm-b.log")]
     Explain(Explain),
-    /// Make a key for a team, and the fingerprint that the configuration takes in its place.
+    /// Generate an API key for a team and the fingerprint to put into the configuration.
     #[command(after_help = "Example: vanillatrail key --json")]
     Key {
         /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Drive or look at one program.
+    /// Control or inspect one program.
     Program(ProgramArguments),
     /// Print the table of result codes, or what one code means.
     #[command(after_help = "Example: vanillatrail codes VT4003")]
     Codes {
-        /// The code.
+        /// Code to describe; the whole table without it.
         code: Option<Code>,
     },
     /// Print the JSON schema of a settings file or a configuration file.
     #[command(after_help = "Example: vanillatrail schema config > config.schema.json")]
     Schema {
-        /// Of which.
+        /// Which schema to print.
         #[arg(value_enum)]
         of: Schema,
     },
     /// Print a completion script for a shell.
     #[command(after_help = "Example: vanillatrail completions bash > vanillatrail.bash")]
     Completions {
-        /// The shell.
+        /// Shell to complete for.
         shell: clap_complete::Shell,
     },
     /// Write the manual pages.
     #[command(after_help = "Example: vanillatrail man --out /usr/local/share/man/man1")]
     Man {
-        /// The folder; without it the main page goes to standard output.
+        /// Output folder; without it, the main page is printed to standard output.
         #[arg(long)]
         out: Option<PathBuf>,
     },
@@ -124,18 +124,18 @@
 
 #[derive(Debug, Args)]
 struct Explain {
-    /// Log files; standard input without any. Text before `ts=` is left out of account.
+    /// Log files; standard input without any. Text before `ts=` in a line is ignored.
     files: Vec<PathBuf>,
-    /// Seconds of one slice of time.
+    /// Length of a time slice in seconds.
     #[arg(long, default_value = "2", value_parser = seconds)]
     slice: Duration,
-    /// Only the lines of this request, over all VMs.
+    /// Print the lines of this request from all VMs.
     #[arg(long)]
     id: Option<String>,
-    /// Only the lines of this program, over all VMs.
+    /// Print the lines of this program from all VMs.
     #[arg(long)]
     program: Option<String>,
-    /// Requests by team, route, kind, service or program, the worst first, in place of slices of time.
+    /// Group requests by team, route, kind, service or program instead of time; most failures first.
     #[arg(long, value_name = "FIELD", conflicts_with_all = ["id", "program"])]
     by: Option<Field>,
     /// Print JSON.
@@ -145,34 +145,34 @@
 
 #[derive(Debug, Args)]
 struct Trial {
-    /// The seed of the mix of programs.
+    /// Random seed of the generated programs.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many programs are opened.
+    /// Number of programs to open.
     #[arg(long, default_value_t = 600)]
     programs: usize,
-    /// Over how many seconds they are opened.
+    /// Period over which the programs are opened, in seconds.
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
-    /// Pairs of calls by which the path is measured.
+    /// Pairs of calls, direct and through the scheduler, to measure the added latency.
     #[arg(long, default_value_t = 60)]
     pairs: usize,
     /// Print JSON.
     #[arg(long)]
     json: bool,
-    /// Plant a fault, to see that the checks find it.
+    /// Inject a fault that the invariant checks have to detect.
     #[arg(long, value_enum)]
     plant: Vec<Plant>,
-    /// Write the events of the VMs to standard error.
+    /// Write the logs of the VMs to standard error.
     #[arg(long)]
     verbose: bool,
 }
 
 #[derive(Debug, Clone, Copy, ValueEnum)]
 enum Schema {
-    /// The settings of one VM.
+    /// Settings of one VM.
     Settings,
-    /// The settings of one VM that forwards requests of callers.
+    /// Settings of one gateway.
     Gateway,
     /// Configuration values by key.
     Config,
@@ -180,33 +180,33 @@
 
 #[derive(Debug, Clone, Copy, ValueEnum)]
 enum Plant {
-    /// A confirmed effect takes place a second time.
+    /// A confirmed effect is executed a second time.
     DoubledEffect,
-    /// An engine holds memory for a program that has ended.
+    /// An engine keeps cache for a program that has ended.
     HeldMemory,
 }
 
 #[derive(Debug, Clone, Copy, ValueEnum)]
 enum Standin {
-    /// The append-only log service.
+    /// Append-only log service.
     Log,
-    /// A model engine.
+    /// Model engine.
     Engine,
-    /// A plain service.
+    /// Service other than a model engine.
     Service,
-    /// The VM list.
+    /// VM list of the platform.
     Vms,
 }
 
 #[derive(Debug, Subcommand)]
 enum Config {
-    /// Print the values in force and the offset to base a change on.
+    /// Print the current values and the offset to use as `--base` of a change.
     #[command(after_help = "Example: vanillatrail config show --log http://127.0.0.1:7000")]
     Show(LogArguments),
-    /// Print the verdict on each change.
+    /// Print recent changes and whether each was accepted.
     #[command(after_help = "Example: vanillatrail config history --log http://127.0.0.1:7000")]
     History(LogArguments),
-    /// Publish the values of a file that differ from those in force.
+    /// Publish the values of a file that differ from the current ones.
     #[command(
         after_help = "Example: vanillatrail config apply config.json --base 4 --log \
             http://127.0.0.1:7000 --wait 127.0.0.1:7301 --wait 127.0.0.1:7302"
@@ -216,7 +216,7 @@
 
 #[derive(Debug, Args)]
 struct LogArguments {
-    /// Base address of the log service.
+    /// Base URL of the log service.
     #[arg(long, env = "VANILLATRAIL_LOG")]
     log: String,
     /// Print JSON.
@@ -226,21 +226,21 @@
 
 #[derive(Debug, Args)]
 struct ApplyArguments {
-    /// A JSON object of values by key; null removes a key.
+    /// JSON object of values by key; null removes a key.
     file: PathBuf,
-    /// Base address of the log service.
+    /// Base URL of the log service.
     #[arg(long, env = "VANILLATRAIL_LOG")]
     log: String,
-    /// The offset that `config show` printed: a key changed since is not overwritten.
+    /// Offset printed by `config show`: keys that changed since then are not overwritten.
     #[arg(long)]
     base: Option<Offset>,
-    /// Who makes the change.
+    /// Author recorded with the change.
     #[arg(long, env = "USER", default_value = "operator")]
     by: String,
-    /// A VM's address for operators; waits until the change is in force there.
+    /// Operator address of a VM on which to wait until the change takes effect.
     #[arg(long)]
     wait: Vec<SocketAddr>,
-    /// How long to wait, in milliseconds.
+    /// Timeout of `--wait`, in milliseconds.
     #[arg(long, default_value_t = 9000)]
     wait_ms: u64,
     /// Print JSON.
@@ -251,7 +251,7 @@
 #[derive(Debug, Args)]
 #[command(after_help = "Example: vanillatrail program why p5-0c36249f16b20510098b55b06f20c3ba")]
 struct ProgramArguments {
-    /// A VM's address for callers; any will do.
+    /// Caller address of any VM.
     #[arg(
         long,
         global = true,
@@ -268,58 +268,58 @@
 
 #[derive(Debug, Subcommand)]
 enum ProgramCommand {
-    /// Open a program; the same key opens the same program.
+    /// Open a program; opening again with the same key returns the same program.
     Open {
-        /// Its class.
+        /// Class of the program.
         #[arg(long)]
         class: Class,
-        /// Its opening key.
+        /// Idempotency key of the opening.
         #[arg(long)]
         key: String,
-        /// Tokens that it may spend.
+        /// Token budget.
         #[arg(long)]
         tokens: Tokens,
-        /// Calls that it may make.
+        /// Maximum number of calls.
         #[arg(long)]
         calls: Option<u64>,
     },
     /// Make a call.
     Call {
-        /// The program.
+        /// Program id.
         program: Program,
-        /// The number of the call.
+        /// Number of the call within the program, from 1.
         call: Call,
-        /// JSON with `model`, `service` or `spawn`.
+        /// JSON object with `model`, `service` or `spawn`.
         body: String,
     },
-    /// Follow the answer of a call.
+    /// Stream the answer of a call.
     Watch {
-        /// The program.
+        /// Program id.
         program: Program,
-        /// The number of the call.
+        /// Number of the call within the program, from 1.
         call: Call,
     },
-    /// Tell the state of a program.
+    /// Show the state of a program.
     Show {
-        /// The program.
+        /// Program id.
         program: Program,
     },
-    /// Tell why a program waits.
+    /// Explain what a program is waiting for.
     Why {
-        /// The program.
+        /// Program id.
         program: Program,
-        /// Addresses of VMs for operators, to tell the queues as well.
+        /// Operator addresses of VMs whose queue lengths to include.
         #[arg(long)]
         operators: Vec<SocketAddr>,
     },
     /// End a program.
     End {
-        /// The program.
+        /// Program id.
         program: Program,
     },
 }
 
-/// Runs the command line of this process.
+/// Runs the command given by the arguments of the process.
 #[must_use]
 pub fn main() -> ExitCode {
     match run(Arguments::parse().command) {
@@ -361,13 +361,17 @@
             };
             command::check::run(&file, kind, json)
         }
-        Command::Config(Config::Show(of)) => command::config::show(&of.log, of.json),
-        Command::Config(Config::History(of)) => command::config::history(&of.log, of.json),
+        Command::Config(Config::Show(options)) => command::config::show(&options.log, options.json),
+        Command::Config(Config::History(options)) => {
+            command::config::history(&options.log, options.json)
+        }
         Command::Config(Config::Apply(apply)) => command::config::apply(&apply.into()),
         Command::State { vms, json } => command::state::run(&vms, json),
-        Command::Explain(of) => command::explain::run(&of.into()),
+        Command::Explain(options) => command::explain::run(&options.into()),
         Command::Key { json } => command::key::run(json),
-        Command::Program(of) => command::program::run(of.vm, of.action.into(), of.json),
+        Command::Program(options) => {
+            command::program::run(options.vm, options.action.into(), options.json)
+        }
         Command::Codes { code } => Ok(command::describe::codes(code)),
         Command::Schema { of } => command::describe::schema(of.into()),
         Command::Completions { shell } => {
@@ -376,12 +380,12 @@
             Ok(Exit::Success)
         }
         Command::Man { out } => {
-            manual(out).map_err(|error| Failure::refused(Code::Internal, error.to_string()))
+            write_manual(out).map_err(|error| Failure::refused(Code::Internal, error.to_string()))
         }
     }
 }
 
-fn manual(out: Option<PathBuf>) -> std::io::Result<Exit> {
+fn write_manual(out: Option<PathBuf>) -> std::io::Result<Exit> {
     let command = Arguments::command();
     match out {
         Some(folder) => clap_mangen::generate_to(command, folder)?,
@@ -391,8 +395,8 @@
 }
 
 impl From<Schema> for command::describe::Schema {
-    fn from(of: Schema) -> Self {
-        match of {
+    fn from(schema: Schema) -> Self {
+        match schema {
             Schema::Settings => Self::Settings,
             Schema::Gateway => Self::Gateway,
             Schema::Config => Self::Config,
@@ -421,15 +425,15 @@
 }
 
 impl From<ApplyArguments> for Apply {
-    fn from(of: ApplyArguments) -> Self {
+    fn from(options: ApplyArguments) -> Self {
         Self {
-            log: of.log,
-            file: of.file,
-            base: of.base,
-            by: of.by,
-            wait: of.wait,
-            limit: Duration::from_millis(of.wait_ms),
-            json: of.json,
+            log: options.log,
+            file: options.file,
+            base: options.base,
+            by: options.by,
+            wait: options.wait,
+            wait_timeout: Duration::from_millis(options.wait_ms),
+            json: options.json,
         }
     }
 }
@@ -465,25 +469,25 @@
     }
 }
 
-impl From<Explain> for command::explain::Question {
-    fn from(of: Explain) -> Self {
+impl From<Explain> for command::explain::Options {
+    fn from(options: Explain) -> Self {
         Self {
-            files: of.files,
-            slice: of.slice,
-            id: of.id,
-            program: of.program,
-            by: of.by,
-            json: of.json,
+            files: options.files,
+            slice: options.slice,
+            id: options.id,
+            program: options.program,
+            by: options.by,
+            json: options.json,
         }
     }
 }
 
-/// A time in seconds, from a millisecond to a day.
+/// Parses a duration in seconds, between 1 ms and one day.
 fn seconds(text: &str) -> Result<Duration, String> {
-    let time = text.parse().map(Duration::try_from_secs_f64);
+    let duration = text.parse().map(Duration::try_from_secs_f64);
     let bounds = Duration::from_millis(1)..=Duration::from_hours(24);
-    match time {
-        Ok(Ok(time)) if bounds.contains(&time) => Ok(time),
+    match duration {
+        Ok(Ok(duration)) if bounds.contains(&duration) => Ok(duration),
         _ => Err("not a number of seconds from 0.001 to 86400".to_owned()),
     }
 }
--- a/src/command/client.rs
+++ b/src/command/client.rs
@@ -1,16 +1,14 @@
-//! Requests of the commands to VMs.
+//! HTTP client for requests of the commands to VMs.
 
 use crate::code::{Code, Failure, Ran};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a connection may take to stand.
-const CONNECT: Duration = Duration::from_secs(3);
-/// How long an answer may take; a call may run for minutes.
-const ANSWER: Duration = Duration::from_mins(11);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Long enough for a call, which may run for minutes.
+const RESPONSE_TIMEOUT: Duration = Duration::from_mins(11);
 
-/// A client of the VMs.
 #[derive(Debug, Clone)]
 pub(super) struct Client {
     http: reqwest::Client,
@@ -19,8 +17,8 @@
 impl Client {
     pub(super) fn new() -> Self {
         let http = reqwest::Client::builder()
-            .connect_timeout(CONNECT)
-            .timeout(ANSWER)
+            .connect_timeout(CONNECT_TIMEOUT)
+            .timeout(RESPONSE_TIMEOUT)
             .retry(reqwest::retry::never())
             .build()
             .expect("a client without TLS can be built");
@@ -28,7 +26,7 @@
     }
 
     pub(super) async fn get(&self, address: SocketAddr, path: &str) -> Result<Value, Failure> {
-        body(self.http.get(format!("http://{address}{path}"))).await
+        send(self.http.get(format!("http://{address}{path}"))).await
     }
 
     pub(super) async fn post(
@@ -37,37 +35,42 @@
         path: &str,
         json: &Value,
     ) -> Result<Value, Failure> {
-        body(self.http.post(format!("http://{address}{path}")).json(json)).await
+        send(self.http.post(format!("http://{address}{path}")).json(json)).await
     }
 
-    /// The reply to a request for an event stream.
+    /// Requests an event stream and returns the response.
     pub(super) async fn stream(
         &self,
         address: SocketAddr,
         path: &str,
     ) -> Result<reqwest::Response, Failure> {
         let request = self.http.get(format!("http://{address}{path}"));
-        let reply = request.header("accept", "text/event-stream").send().await;
-        let reply = reply.map_err(|error| unreachable(&error))?;
-        if reply.status().is_success() {
-            return Ok(reply);
+        let response = request.header("accept", "text/event-stream").send().await;
+        let response = response.map_err(|error| unreachable(&error))?;
+        if response.status().is_success() {
+            return Ok(response);
         }
-        Err(refusal(reply).await)
+        Err(read_failure(response).await)
     }
 }
 
-async fn body(request: reqwest::RequestBuilder) -> Result<Value, Failure> {
-    let reply = request.send().await.map_err(|error| unreachable(&error))?;
-    if reply.status().is_success() {
-        return reply.json().await.map_err(|error| unreachable(&error));
+async fn send(request: reqwest::RequestBuilder) -> Result<Value, Failure> {
+    let response = request.send().await.map_err(|error| unreachable(&error))?;
+    if response.status().is_success() {
+        return response.json().await.map_err(|error| unreachable(&error));
     }
-    Err(refusal(reply).await)
+    Err(read_failure(response).await)
 }
 
-async fn refusal(reply: reqwest::Response) -> Failure {
-    let status = reply.status();
-    let other = |_| Failure::refused(Code::Internal, format!("the address answers {status}"));
-    reply.json().await.unwrap_or_else(other)
+async fn read_failure(response: reqwest::Response) -> Failure {
+    let status = response.status();
+    let not_a_failure = |_| {
+        Failure::refused(
+            Code::Internal,
+            format!("the server responded with {status}"),
+        )
+    };
+    response.json().await.unwrap_or_else(not_a_failure)
 }
 
 fn unreachable(error: &reqwest::Error) -> Failure {
--- a/src/command/config.rs
+++ b/src/command/config.rs
@@ -1,4 +1,4 @@
-//! `config`: the configuration on the log, read and judged as every VM does it.
+//! `config`: shows and changes the configuration on the log.
 
 use super::client::Client;
 use super::{Exit, check, paint, print_json, runtime};
@@ -15,36 +15,35 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How often a change is appended before its outcome is left unknown.
-const ATTEMPTS: u32 = 3;
-/// The pause after a failed append.
+const MAX_APPEND_ATTEMPTS: u32 = 3;
+/// Delay after a failed append.
 const BACKOFF: Duration = Duration::from_millis(300);
-/// Time between looks at the VMs.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which the VMs are asked whether a change has taken effect.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What `config apply` publishes.
+/// Options of `config apply`.
 #[derive(Debug, Clone)]
 pub(crate) struct Apply {
-    /// Base address of the log service.
+    /// Base URL of the log service.
     pub(crate) log: String,
-    /// A JSON object of values by key; null removes a key.
+    /// JSON file of values by key; null removes a key.
     pub(crate) file: PathBuf,
-    /// The offset that `config show` gave to the operator; none takes the newest.
+    /// Offset printed by `config show`; `None` uses the end of the stream.
     pub(crate) base: Option<Offset>,
-    /// Who makes the change.
+    /// Author of the change.
     pub(crate) by: String,
-    /// Operators' addresses of the VMs whose application to wait for.
+    /// Operator addresses of the VMs on which to wait until the change takes effect.
     pub(crate) wait: Vec<SocketAddr>,
-    /// How long to wait for them.
-    pub(crate) limit: Duration,
-    /// Whether the report is JSON.
+    /// Timeout of the wait.
+    pub(crate) wait_timeout: Duration,
+    /// Print JSON.
     pub(crate) json: bool,
 }
 
-/// Prints the configuration in force, with the offset to base a change on.
+/// Prints the current values and the offset to use as base of a change.
 pub(crate) fn show(log: &str, json: bool) -> Result<Exit, Failure> {
     let state = runtime()?.block_on(read(&Http::new(log), None))?;
-    let values = in_force(&state)?;
+    let values = current_values(&state)?;
     if json {
         print_json(&json!({ "applied": state.applied(), "values": values }))?;
     } else {
@@ -56,76 +55,77 @@
     Ok(Exit::Success)
 }
 
-/// Prints the decision on each change, oldest first.
+/// Prints the decision on each recent change, oldest first.
 pub(crate) fn history(log: &str, json: bool) -> Result<Exit, Failure> {
     let state = runtime()?.block_on(read(&Http::new(log), None))?;
     if json {
         print_json(&state.history())?;
     } else {
         for decision in state.history() {
-            println!("{}", line(decision));
+            println!("{}", format_decision(decision));
         }
     }
     Ok(Exit::Success)
 }
 
-/// Publishes the values of a file that differ from those in force.
+/// Publishes the values of a file that differ from the current ones.
 pub(crate) fn apply(apply: &Apply) -> Result<Exit, Failure> {
     let wanted = check::load(&apply.file)?;
-    if let Some(fault) = check::faults(&wanted).into_iter().next() {
-        return Err(fault);
+    if let Some(error) = check::validate(&wanted).into_iter().next() {
+        return Err(error);
     }
     runtime()?.block_on(publish(apply, &wanted))
 }
 
 async fn publish(apply: &Apply, wanted: &Map<String, Value>) -> Result<Exit, Failure> {
     let log = Http::new(&apply.log);
-    // What the operator looked at: a key that was changed since makes the change refused.
-    let seen = read(&log, apply.base).await?;
-    let mut ours = BTreeSet::new();
-    for change in changes(apply, &seen, wanted)? {
-        ours.insert(append(&log, &change).await?);
+    // Changes are based on the state at the operator's base offset, so that a key changed since
+    // then is refused as a conflict.
+    let base = read(&log, apply.base).await?;
+    let mut published = BTreeSet::new();
+    for change in changes(apply, &base, wanted)? {
+        published.insert(append(&log, &change).await?);
     }
-    let Some(last) = ours.last() else {
+    let Some(last) = published.last() else {
         return report(apply, &[], None);
     };
     let after = Offset(last.0 + 1);
-    let judged = read(&log, Some(after)).await?;
-    let decisions = judged.history().iter();
-    let decisions = decisions.filter(|decision| ours.contains(&decision.offset));
+    let latest = read(&log, Some(after)).await?;
+    let decisions = latest.history().iter();
+    let decisions = decisions.filter(|decision| published.contains(&decision.offset));
     let decisions: Vec<Decision> = decisions.cloned().collect();
-    let mut in_force = None;
+    let mut vms_applied = None;
     if !apply.wait.is_empty() {
-        in_force = Some(wait(apply, after).await);
+        vms_applied = Some(wait(apply, after).await);
     }
-    report(apply, &decisions, in_force)
+    report(apply, &decisions, vms_applied)
 }
 
-/// Appends a change; its id makes it safe to append again when the reply was lost.
+/// Appends a change. Its id makes a retry after a lost reply idempotent.
 async fn append(log: &Http, change: &Change) -> Result<Offset, Failure> {
     let entry = serde_json::to_vec(change).map_err(|error| malformed(&error))?;
     let entry = Bytes::from(entry);
-    let mut fault = Fault(String::new());
-    for _ in 0..ATTEMPTS {
+    let mut last_error = Fault(String::new());
+    for _ in 0..MAX_APPEND_ATTEMPTS {
         match log.append(CONFIG, entry.clone()).await {
             Ok(offset) => return Ok(offset),
-            Err(error) => fault = error,
+            Err(error) => last_error = error,
         }
         sleep(BACKOFF).await;
     }
-    Err(unsure(&change.key, &fault))
+    Err(outcome_unknown(&change.key, &last_error))
 }
 
-/// The changes that bring the keys of `wanted` from what was seen to what is wanted.
+/// The changes that turn the values of `base` into the wanted ones.
 fn changes(
     apply: &Apply,
-    seen: &State,
+    base: &State,
     wanted: &Map<String, Value>,
 ) -> Result<Vec<Change>, Failure> {
-    let current = in_force(seen)?;
+    let current = current_values(base)?;
     let mut changes = Vec::new();
     for (key, value) in wanted {
-        let value = full(key, value)?;
+        let value = with_defaults(key, value)?;
         if current.get(key).unwrap_or(&Value::Null) == &value {
             continue;
         }
@@ -133,7 +133,7 @@
         changes.push(Change {
             schema: SUPPORTED_SCHEMA,
             key: key.clone(),
-            base: seen.settings().get(key).map(|setting| setting.offset),
+            base: base.settings().get(key).map(|setting| setting.offset),
             value,
             by: apply.by.clone(),
             id: Some(id),
@@ -142,26 +142,26 @@
     Ok(changes)
 }
 
-/// The value with its defaults filled in, so that it can be compared.
-fn full(key: &str, value: &Value) -> Result<Value, Failure> {
+/// The value with its defaults filled in, for comparison with the current one.
+fn with_defaults(key: &str, value: &Value) -> Result<Value, Failure> {
     if value.is_null() {
         return Ok(Value::Null);
     }
-    bare(&crate::config::Value::check(key, value)?)
+    untagged(&crate::config::Value::check(key, value)?)
 }
 
-/// The value without the name of its kind, as it stands in a change.
-fn bare(value: &crate::config::Value) -> Result<Value, Failure> {
+/// The value without its enum tag, as written in a change.
+fn untagged(value: &crate::config::Value) -> Result<Value, Failure> {
     let tagged = serde_json::to_value(value).map_err(|error| malformed(&error))?;
     let inner = tagged.as_object().and_then(|object| object.values().next());
     Ok(inner.cloned().unwrap_or_default())
 }
 
-fn in_force(state: &State) -> Result<Map<String, Value>, Failure> {
+fn current_values(state: &State) -> Result<Map<String, Value>, Failure> {
     let settings = state.settings().iter();
     settings
         .filter_map(|(key, setting)| Some((key.clone(), setting.value.as_ref()?)))
-        .map(|(key, value)| Ok((key, bare(value)?)))
+        .map(|(key, value)| Ok((key, untagged(value)?)))
         .collect()
 }
 
@@ -169,12 +169,12 @@
     Failure::refused(Code::Internal, error.to_string())
 }
 
-fn unsure(key: &str, fault: &Fault) -> Failure {
-    let message = format!("{key}: {fault}; see `config history` for whether it was taken");
+fn outcome_unknown(key: &str, fault: &Fault) -> Failure {
+    let message = format!("{key}: {fault}; check `config history` to see if it was published");
     Failure::refused(Code::LogUnavailable, message).ran(crate::code::Ran::Unknown)
 }
 
-/// Folds the stream up to its end, or up to `until`.
+/// Applies the stream up to its end or to `until`.
 async fn read(log: &Http, until: Option<Offset>) -> Result<State, Failure> {
     let mut state = State::default();
     let mut next = Offset(0);
@@ -185,58 +185,62 @@
         next = next.max(page.first);
         for entry in page.entries {
             if until.is_some_and(|until| entry.offset >= until) {
-                return whole(state);
+                return check_complete(state);
             }
             next = Offset(entry.offset.0 + 1);
             state.apply(entry.offset, &entry.data);
         }
         if next >= page.next {
-            return whole(state);
+            return check_complete(state);
         }
     }
 }
 
-/// A book without the changes that the log has trimmed would give other decisions than the VMs.
-fn whole(state: State) -> Result<State, Failure> {
+/// Fails if trimmed entries are missing, since decisions could differ from those of the VMs.
+fn check_complete(state: State) -> Result<State, Failure> {
     if state.has_gap() {
-        let message = "the log no longer keeps the changes up to there; use a newer base";
+        let message = "the log has trimmed the changes up to the base offset; use a newer base";
         return Err(Failure::refused(Code::HistoryGap, message));
     }
     Ok(state)
 }
 
-/// On how many of the VMs the configuration up to `offset` is in force, once all or the limit.
+/// Waits until the VMs have applied the configuration up to `offset`; returns how many have.
 async fn wait(apply: &Apply, offset: Offset) -> usize {
     let client = Client::new();
-    let until = Instant::now() + apply.limit;
+    let deadline = Instant::now() + apply.wait_timeout;
     loop {
         let mut applied = 0;
         for vm in &apply.wait {
             let state = client.get(*vm, "/state").await.unwrap_or_default();
-            let reached = state["config"]["applied"].as_u64();
-            applied += usize::from(reached.is_some_and(|reached| reached >= offset.0));
+            let vm_offset = state["config"]["applied"].as_u64();
+            applied += usize::from(vm_offset.is_some_and(|vm_offset| vm_offset >= offset.0));
         }
-        if applied == apply.wait.len() || Instant::now() > until {
+        if applied == apply.wait.len() || Instant::now() > deadline {
             return applied;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn report(apply: &Apply, decisions: &[Decision], in_force: Option<usize>) -> Result<Exit, Failure> {
-    let asked = apply.wait.len();
+fn report(
+    apply: &Apply,
+    decisions: &[Decision],
+    vms_applied: Option<usize>,
+) -> Result<Exit, Failure> {
+    let vms_total = apply.wait.len();
     if apply.json {
-        let waited = in_force.map(|vms| json!({ "vms": vms, "of": asked }));
-        print_json(&json!({ "changes": decisions, "in_force": waited }))?;
+        let applied = vms_applied.map(|vms| json!({ "vms": vms, "of": vms_total }));
+        print_json(&json!({ "changes": decisions, "in_force": applied }))?;
     } else {
         for decision in decisions {
-            println!("{}", line(decision));
+            println!("{}", format_decision(decision));
         }
         if decisions.is_empty() {
             println!("nothing differs");
         }
-        if let Some(vms) = in_force {
-            println!("in force on {vms} of {asked} VMs");
+        if let Some(vms) = vms_applied {
+            println!("in force on {vms} of {vms_total} VMs");
         }
     }
     let refusal = decisions
@@ -247,18 +251,18 @@
         });
     Ok(match refusal {
         Some(failure) => Exit::from(failure),
-        None if in_force.is_some_and(|vms| vms < asked) => Exit::Failed,
+        None if vms_applied.is_some_and(|vms| vms < vms_total) => Exit::Failed,
         None => Exit::Success,
     })
 }
 
-fn line(decision: &Decision) -> String {
+fn format_decision(decision: &Decision) -> String {
     let outcome = match &decision.outcome {
-        Outcome::Accepted => paint::good("accepted"),
-        Outcome::Repeated(of) => format!("repeats {of}"),
-        Outcome::Refused(failure) => format!("{} {failure}", paint::bad("refused")),
+        Outcome::Accepted => paint::green("accepted"),
+        Outcome::Repeated(original) => format!("duplicate of {original}"),
+        Outcome::Refused(failure) => format!("{} {failure}", paint::red("refused")),
         Outcome::Checkpoint => return format!("{} checkpoint", decision.offset),
-        Outcome::Deferred => "held".to_owned(),
+        Outcome::Deferred => "deferred".to_owned(),
     };
     format!(
         "{} {} by {}: {outcome}",
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: where time went, or the story of one request or program, from logs.
+//! `explain`: statistics from gateway logs, or the log lines of one request or program.
 
 use super::{Exit, internal, print_json};
 use crate::code::{Code, Failure};
@@ -9,65 +9,64 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Lines of one story that are kept, the first ones.
-const STORY: usize = 10_000;
-/// Kinds of event or result that are printed of a slice, the most frequent ones.
-const KINDS: usize = 6;
+/// Limit on the printed lines of one request or program.
+const MAX_MATCHES: usize = 10_000;
+/// Most frequent results or events printed per row.
+const MAX_COUNTS_PER_ROW: usize = 6;
 
-/// Groups that are printed, the worst ones.
-const SHOWN: usize = 30;
+const MAX_PRINTED_GROUPS: usize = 30;
 
-/// What to explain.
+/// Options of the command.
 #[derive(Debug, Default)]
-pub(crate) struct Question {
-    /// Log files; standard input where there are none.
+pub(crate) struct Options {
+    /// Log files; empty for standard input.
     pub(crate) files: Vec<PathBuf>,
-    /// How long a slice of time is.
+    /// Length of a time slice.
     pub(crate) slice: Duration,
-    /// Only the lines of this request.
+    /// Print only the lines of this request.
     pub(crate) id: Option<String>,
-    /// Only the lines of this program.
+    /// Print only the lines of this program.
     pub(crate) program: Option<String>,
-    /// Requests by this field, in place of slices of time.
+    /// Group requests by this field instead of by time slice.
     pub(crate) by: Option<Field>,
-    /// Print JSON.
     pub(crate) json: bool,
 }
 
-/// Prints what the logs tell.
-pub(crate) fn run(question: &Question) -> Result<Exit, Failure> {
-    let mut reader = Reader::new(question);
-    if question.files.is_empty() {
+/// Reads the logs and prints the statistics or matching lines.
+pub(crate) fn run(options: &Options) -> Result<Exit, Failure> {
+    let mut reader = Reader::new(options);
+    if options.files.is_empty() {
         reader.read(stdin().lock())?;
     }
-    for path in &question.files {
+    for path in &options.files {
         let file = File::open(path).map_err(|error| {
             Failure::refused(Code::BadBody, format!("{}: {error}", path.display()))
         })?;
         reader.read(BufReader::new(file))?;
     }
-    reader.print(question.json)
+    reader.print(options.json)
 }
 
 struct Reader<'a> {
-    question: &'a Question,
+    options: &'a Options,
     report: Report,
     groups: Option<Groups>,
-    story: Vec<(String, String)>,
+    /// Timestamp and text of the lines of the requested id or program.
+    matches: Vec<(String, String)>,
     lines: u64,
-    /// Lines that are none of a VM.
-    others: u64,
+    /// Lines that were not written by a VM.
+    other_lines: u64,
 }
 
 impl<'a> Reader<'a> {
-    fn new(question: &'a Question) -> Self {
+    fn new(options: &'a Options) -> Self {
         Self {
-            question,
-            report: Report::new(question.slice),
-            groups: question.by.map(Groups::new),
-            story: Vec::new(),
+            options,
+            report: Report::new(options.slice),
+            groups: options.by.map(Groups::new),
+            matches: Vec::new(),
             lines: 0,
-            others: 0,
+            other_lines: 0,
         }
     }
 
@@ -81,94 +80,94 @@
             }
             let text = String::from_utf8_lossy(&bytes);
             match Line::parse(text.trim_end()) {
-                Some(line) => self.take(&line, text.trim_end()),
-                None => self.others += 1,
+                Some(line) => self.add(&line, text.trim_end()),
+                None => self.other_lines += 1,
             }
         }
     }
 
-    fn take(&mut self, line: &Line<'_>, text: &str) {
+    fn add(&mut self, line: &Line<'_>, text: &str) {
         self.lines += 1;
-        let Question { id, program, .. } = self.question;
+        let Options { id, program, .. } = self.options;
         if id.is_none() && program.is_none() {
             return match &mut self.groups {
                 Some(groups) => groups.add(line),
                 None => self.report.add(line),
             };
         }
-        let is =
+        let has =
             |wanted: &Option<String>, key| wanted.is_some() && line.get(key) == wanted.as_deref();
-        if (is(id, "id") || is(program, "program")) && self.story.len() < STORY {
-            self.story.push((line.time.to_string(), text.to_owned()));
+        if (has(id, "id") || has(program, "program")) && self.matches.len() < MAX_MATCHES {
+            self.matches.push((line.time.to_string(), text.to_owned()));
         }
     }
 
     fn print(mut self, json: bool) -> Result<Exit, Failure> {
-        let (lines, others) = (self.lines, self.others);
+        let (lines, others) = (self.lines, self.other_lines);
         let groups = self.groups.as_ref();
-        let left_out = groups.map_or_else(|| self.report.left_out(), Groups::left_out);
-        eprintln!("{lines} lines read, {others} that are none of a VM, {left_out} left out");
-        if self.question.id.is_some() || self.question.program.is_some() {
-            // Logs of several VMs come one after the other.
-            self.story.sort();
-            let written = written(tell(&self.story))?;
-            return Ok(if self.story.is_empty() {
+        let dropped = groups.map_or_else(|| self.report.dropped_lines(), Groups::dropped_lines);
+        eprintln!("{lines} lines read, {others} that are none of a VM, {dropped} left out");
+        if self.options.id.is_some() || self.options.program.is_some() {
+            // Merges the logs of several VMs by time.
+            self.matches.sort();
+            let exit = exit_code(print_lines(&self.matches))?;
+            return Ok(if self.matches.is_empty() {
                 Exit::Failed
             } else {
-                written
+                exit
             });
         }
         if let Some(groups) = groups {
-            let worst = groups.worst();
+            let groups = groups.worst_first();
             if json {
-                print_json(&worst)?;
+                print_json(&groups)?;
                 return Ok(Exit::Success);
             }
-            return written(print_groups(&worst));
+            return exit_code(print_groups(&groups));
         }
         let summaries = self.report.summaries();
         if json {
             print_json(&summaries)?;
             return Ok(Exit::Success);
         }
-        written(print(&summaries))
+        exit_code(print_slices(&summaries))
     }
 }
 
-/// Whoever reads the output may have seen enough, as `head` has.
-fn written(done: io::Result<()>) -> Result<Exit, Failure> {
-    match done {
+/// Treats a closed pipe, as with `head`, as success.
+fn exit_code(result: io::Result<()>) -> Result<Exit, Failure> {
+    match result {
         Err(error) if error.kind() != ErrorKind::BrokenPipe => Err(internal(&error)),
         _ => Ok(Exit::Success),
     }
 }
 
-fn tell(story: &[(String, String)]) -> io::Result<()> {
+fn print_lines(lines: &[(String, String)]) -> io::Result<()> {
     let mut out = BufWriter::new(stdout().lock());
-    for (_, line) in story {
+    for (_, line) in lines {
         writeln!(out, "{line}")?;
     }
     out.flush()
 }
 
-fn print(summaries: &[Summary]) -> io::Result<()> {
+fn print_slices(summaries: &[Summary]) -> io::Result<()> {
     let mut out = BufWriter::new(stdout().lock());
     writeln!(
         out,
-        "{:<23} {:>7} {:>16} {:>14} {:>14}  other results; what VMs came to believe",
-        "from", "good", "total ms", "allowed ms", "waited ms"
+        "{:<23} {:>7} {:>16} {:>14} {:>14}  other results; state changes of VMs",
+        "from", "ok", "total ms", "token wait ms", "slot wait ms"
     )?;
     for slice in summaries {
         writeln!(
             out,
             "{:<23} {:>7} {:>16} {:>14} {:>14}  {}; {}",
             slice.begin.format("%Y-%m-%dT%H:%M:%S%.3f"),
-            slice.good,
+            slice.succeeded,
             slice.total.to_string(),
-            slice.allowed.to_string(),
-            slice.waited.to_string(),
-            most(&slice.results),
-            most(&slice.beliefs),
+            slice.token_wait.to_string(),
+            slice.slot_wait.to_string(),
+            most_frequent(&slice.results),
+            most_frequent(&slice.state_changes),
         )?;
     }
     out.flush()
@@ -179,28 +178,28 @@
     writeln!(
         out,
         "{:<40} {:>7} {:>7} {:>9} {:>9}  other results",
-        "worst first", "good", "bad", "waited ms", "total ms"
+        "group", "ok", "failed", "wait ms", "total ms"
     )?;
-    for group in groups.iter().take(SHOWN) {
+    for group in groups.iter().take(MAX_PRINTED_GROUPS) {
         writeln!(
             out,
             "{:<40} {:>7} {:>7} {:>9} {:>9}  {}",
             group.name,
-            group.good,
-            group.bad,
+            group.succeeded,
+            group.failed,
             group.waited_ms,
             group.total_ms,
-            most(&group.results),
+            most_frequent(&group.results),
         )?;
     }
     out.flush()
 }
 
-/// The most frequent of some counts.
-fn most(counts: &BTreeMap<String, u64>) -> String {
+/// Formats the largest counts as `name=count`.
+fn most_frequent(counts: &BTreeMap<String, u64>) -> String {
     let mut counts: Vec<_> = counts.iter().collect();
     counts.sort_by_key(|(_, count)| std::cmp::Reverse(**count));
-    let counts = counts.into_iter().take(KINDS);
+    let counts = counts.into_iter().take(MAX_COUNTS_PER_ROW);
     let counts = counts.map(|(name, count)| format!("{name}={count}"));
     counts.collect::<Vec<_>>().join(" ")
 }
--- a/src/command/gateway.rs
+++ b/src/command/gateway.rs
@@ -1,4 +1,4 @@
-//! `gateway`: one VM that forwards requests of callers.
+//! `gateway`: runs the gateway of one VM.
 
 use super::Exit;
 use crate::code::Failure;
@@ -8,7 +8,7 @@
 use spdlog::{Level, LevelFilter};
 use std::path::Path;
 
-/// Forwards until a signal to stop.
+/// Runs until SIGTERM or SIGINT.
 pub(crate) fn run(path: &Path) -> Result<Exit, Failure> {
     let settings = Gateway::load(path)?;
     log_to_stdout(LevelFilter::MoreSevereEqual(Level::Info));
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! What the commands do; the command line only reads their options.
+//! Implementation of the commands; `cli` only parses their options.
 
 pub(crate) mod check;
 mod client;
@@ -20,22 +20,20 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
-/// How a command ends; the number is the exit code of the process.
+/// Exit code of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Exit {
-    /// It did what was asked.
     Success = 0,
-    /// A fault.
     Failed = 1,
-    /// The input is malformed: arguments, a file, or a body.
+    /// Arguments, a file or a request body are invalid.
     BadInput = 2,
-    /// Something that must always hold did not.
-    Broken = 3,
-    /// An address does not answer.
+    /// A trial found a violated invariant.
+    InvariantViolated = 3,
+    /// A server can't be reached.
     Unreachable = 4,
-    /// Refused: it did not run.
+    /// The request was refused and did not run.
     Refused = 5,
-    /// It was sent and its outcome is not known.
+    /// The request was sent and its outcome is unknown.
     Unknown = 6,
 }
 
@@ -59,7 +57,6 @@
     }
 }
 
-/// A runtime for a command that waits for few things.
 fn runtime() -> Result<Runtime, Failure> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -71,7 +68,7 @@
     Failure::refused(Code::Internal, error.to_string())
 }
 
-/// A token that is cancelled at the first SIGTERM or SIGINT.
+/// Returns a token that is cancelled on SIGTERM or SIGINT.
 fn stop_on_signal() -> Result<CancellationToken, Failure> {
     let stop = CancellationToken::new();
     let token = stop.clone();
@@ -91,7 +88,6 @@
     Ok(stop)
 }
 
-/// Writes a JSON value for a machine.
 fn print_json(value: &impl serde::Serialize) -> Result<(), Failure> {
     let text = serde_json::to_string_pretty(value)
         .map_err(|error| Failure::refused(Code::Internal, error.to_string()))?;
--- a/src/command/paint.rs
+++ b/src/command/paint.rs
@@ -1,22 +1,20 @@
-//! Colours, on a terminal only.
+//! Colored output if standard output is a terminal.
 
 use std::io::{IsTerminal, stdout};
 
-/// Text for something that is as it should be.
-pub(super) fn good(text: &str) -> String {
-    painted("32", text)
+pub(super) fn green(text: &str) -> String {
+    paint("32", text)
 }
 
-/// Text for something that is not.
-pub(super) fn bad(text: &str) -> String {
-    painted("31", text)
+pub(super) fn red(text: &str) -> String {
+    paint("31", text)
 }
 
-fn painted(colour: &str, text: &str) -> String {
-    // https://no-color.org: any value but the empty one turns colours off.
-    let refused = std::env::var_os("NO_COLOR").is_some_and(|value| !value.is_empty());
-    if refused || !stdout().is_terminal() {
+fn paint(ansi_color: &str, text: &str) -> String {
+    // https://no-color.org: any value except the empty string disables colors.
+    let disabled = std::env::var_os("NO_COLOR").is_some_and(|value| !value.is_empty());
+    if disabled || !stdout().is_terminal() {
         return text.to_owned();
     }
-    format!("\u{1b}[{colour}m{text}\u{1b}[0m")
+    format!("\u{1b}[{ansi_color}m{text}\u{1b}[0m")
 }
--- a/src/command/program.rs
+++ b/src/command/program.rs
@@ -1,7 +1,7 @@
-//! `program`: a program by hand, and why it waits.
+//! `program`: controls one program and explains what it is waiting for.
 
 use super::client::Client;
-use super::state::plain;
+use super::state::unquoted;
 use super::{Exit, print_json, runtime};
 use crate::code::{Code, Failure};
 use crate::id::{Call, Class, Program, Tokens};
@@ -11,10 +11,10 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// What to do with a program.
+/// Subcommands.
 #[derive(Debug, Clone)]
 pub(crate) enum Action {
-    /// Open one, once per key.
+    /// Open a program; idempotent per key.
     Open {
         class: Class,
         key: String,
@@ -27,20 +27,26 @@
         call: Call,
         body: String,
     },
-    /// Follow a call's answer as it comes.
-    Watch { program: Program, call: Call },
-    /// Tell its state.
-    Show { program: Program },
-    /// Tell why it waits; `operators` are addresses of VMs for operators.
+    /// Stream the answer of a call.
+    Watch {
+        program: Program,
+        call: Call,
+    },
+    Show {
+        program: Program,
+    },
+    /// Explain what the program is waiting for. `operators` are the operator addresses of VMs
+    /// whose queue lengths are included.
     Why {
         program: Program,
         operators: Vec<SocketAddr>,
     },
-    /// End it.
-    End { program: Program },
+    End {
+        program: Program,
+    },
 }
 
-/// Does it at the VM whose address for callers is `vm`.
+/// Runs the action at the VM with the caller address `vm`.
 pub(crate) fn run(vm: SocketAddr, action: Action, json: bool) -> Result<Exit, Failure> {
     let client = Client::new();
     let runtime = runtime()?;
@@ -67,7 +73,7 @@
             call,
             body,
         } => {
-            let mut body = parsed(&body)?;
+            let mut body = parse_object(&body)?;
             body.insert("call".to_owned(), json!(call));
             let path = format!("/v1/programs/{program}/calls");
             runtime.block_on(client.post(vm, &path, &Value::Object(body)))?
@@ -84,11 +90,11 @@
     Ok(Exit::Success)
 }
 
-fn parsed(body: &str) -> Result<Map<String, Value>, Failure> {
+fn parse_object(body: &str) -> Result<Map<String, Value>, Failure> {
     serde_json::from_str(body).map_err(|error| Failure::refused(Code::BadBody, error.to_string()))
 }
 
-/// For a person: the text of a model's answer alone, one line per field of anything else.
+/// Without `json`, prints only the text of a model's answer, or one line per field otherwise.
 fn print(answer: &Value, json: bool) -> Result<(), Failure> {
     if json {
         return print_json(answer);
@@ -98,7 +104,7 @@
         return Ok(());
     }
     for (key, value) in answer.as_object().into_iter().flatten() {
-        println!("{key}: {}", plain(value));
+        println!("{key}: {}", unquoted(value));
     }
     Ok(())
 }
@@ -110,36 +116,38 @@
     call: Call,
 ) -> Result<(), Failure> {
     let path = format!("/v1/programs/{program}/calls/{call}");
-    let reply = client.stream(vm, &path).await?;
-    let mut events = std::pin::pin!(reply.bytes_stream().eventsource());
+    let response = client.stream(vm, &path).await?;
+    let mut events = std::pin::pin!(response.bytes_stream().eventsource());
     let mut out = std::io::stdout();
-    let mut written = false;
+    let mut has_text = false;
     while let Some(event) = events.next().await {
-        let event = event.map_err(|error| cut(&error.to_string()))?;
+        let event = event.map_err(|error| stream_error(&error.to_string()))?;
         let body: Value = serde_json::from_str(&event.data).unwrap_or_default();
         match event.event.as_str() {
             "delta" => {
-                written = true;
-                let _ = write!(out, "{}", plain(&body["text"]));
+                has_text = true;
+                let _ = write!(out, "{}", unquoted(&body["text"]));
                 let _ = out.flush();
             }
-            "restart" => println!("\n(the engine failed; the answer starts anew)"),
-            "answer" if written => {
+            "restart" => println!("\n(the engine failed; the answer restarts from the beginning)"),
+            "answer" if has_text => {
                 println!();
                 return Ok(());
             }
             "answer" => return print(&body, false),
             "failed" => {
                 let failure = serde_json::from_str(&event.data);
-                return Err(failure.unwrap_or_else(|_| cut("a malformed failure")));
+                return Err(failure.unwrap_or_else(|_| stream_error("malformed failure event")));
             }
             _ => {}
         }
     }
-    Err(cut("the stream ended early; watch again"))
+    Err(stream_error(
+        "the stream ended before the answer was complete; run `watch` again",
+    ))
 }
 
-fn cut(reason: &str) -> Failure {
+fn stream_error(reason: &str) -> Failure {
     Failure::refused(Code::Unreachable, reason)
 }
 
@@ -150,76 +158,83 @@
     operators: &[SocketAddr],
     json: bool,
 ) -> Result<Exit, Failure> {
-    let look = match client.get(vm, &format!("/v1/programs/{program}")).await {
-        Ok(look) => look,
+    let state = match client.get(vm, &format!("/v1/programs/{program}")).await {
+        Ok(state) => state,
         Err(failure) if failure.code == Code::NoOwner => {
-            let reason = "no VM owns its shard now; one claims it as soon as the log can be read";
-            return told(program, reason, &Value::Null, json);
+            let reason = "no VM owns its shard; one claims it as soon as the log is readable";
+            return print_reason(program, reason, &Value::Null, json);
         }
         Err(failure) => return Err(failure),
     };
     let mut queues = Map::new();
     for operator in operators {
-        let state = client.get(*operator, "/state").await?;
-        for (pool, queue) in state["dispatch"].as_object().into_iter().flatten() {
-            let vm = plain(&state["local"]["vm"]);
+        let vm_state = client.get(*operator, "/state").await?;
+        for (pool, queue) in vm_state["dispatch"].as_object().into_iter().flatten() {
+            let vm = unquoted(&vm_state["local"]["vm"]);
             queues.insert(format!("{pool} at {vm}"), queue.clone());
         }
     }
-    let reason = reason(&look, &queues);
-    told(program, &reason, &look, json)
+    let reason = reason(&state, &queues);
+    print_reason(program, &reason, &state, json)
 }
 
-fn told(program: Program, reason: &str, look: &Value, json: bool) -> Result<Exit, Failure> {
+fn print_reason(
+    program: Program,
+    reason: &str,
+    state: &Value,
+    json: bool,
+) -> Result<Exit, Failure> {
     if json {
-        print_json(&json!({ "program": program, "reason": reason, "state": look }))?;
+        print_json(&json!({ "program": program, "reason": reason, "state": state }))?;
     } else {
         println!("{program}: {reason}");
     }
     Ok(Exit::Success)
 }
 
-fn reason(look: &Value, queues: &Map<String, Value>) -> String {
-    if look["ended"] == true {
-        return match look["ended_with"].as_str() {
-            Some(code) => format!("it has ended with {code}"),
+fn reason(state: &Value, queues: &Map<String, Value>) -> String {
+    if state["ended"] == true {
+        return match state["ended_with"].as_str() {
+            Some(code) => format!("it has ended with code {code}"),
             None => "it has ended".to_owned(),
         };
     }
-    let owner = plain(&look["owner"]);
-    let next = plain(&look["next_call"]);
-    let running = &look["running"];
+    let owner = unquoted(&state["owner"]);
+    let next = unquoted(&state["next_call"]);
+    let running = &state["running"];
     let Some(stage) = running["stage"].as_str() else {
-        if !look["intent"].is_null() {
+        if !state["intent"].is_null() {
             return format!(
-                "call {next} was sent once and has no outcome; {owner} is settling it with the service"
+                "call {next} was sent and its outcome is unknown; {owner} is asking the service for it"
             );
         }
-        return format!("nothing of it runs; {owner} waits for its caller to make call {next}");
+        return format!("no call is running; {owner} waits for its caller to make call {next}");
     };
-    let since = plain(&running["for_ms"]);
-    let what = match stage {
-        "permit" => format!("waits for a backend server{}", waiting(queues)),
-        "journal_begun" => "waits for the log before it is sent to the engine".to_owned(),
-        "journal_intent" => "waits for the log before it is sent, which happens once".to_owned(),
-        "journal_done" => "has its answer and waits for the log to keep it".to_owned(),
+    let elapsed_ms = unquoted(&running["for_ms"]);
+    let status = match stage {
+        "permit" => format!("waits for a backend server{}", queue_lengths(queues)),
+        "journal_begun" => "waits for a log write before it is sent to the engine".to_owned(),
+        "journal_intent" => {
+            "waits for a log write before it is sent to the service, at most once".to_owned()
+        }
+        "journal_done" => "has its answer and waits for a log write of it".to_owned(),
         "stream" => format!(
-            "is streamed by an engine, {} parts so far",
+            "is receiving an engine's answer, {} parts so far",
             running["parts"]
         ),
         "send" => "was sent to its service, which has not answered".to_owned(),
-        other => format!("is at `{other}`"),
+        other => format!("is in stage `{other}`"),
     };
     format!(
-        "call {next} {what}; {since} ms so far, attempt {}, owner {owner}",
+        "call {next} {status}; {elapsed_ms} ms so far, attempt {}, owner {owner}",
         running["attempt"]
     )
 }
 
-fn waiting(queues: &Map<String, Value>) -> String {
-    let busy = queues
+fn queue_lengths(queues: &Map<String, Value>) -> String {
+    let nonempty = queues
         .iter()
         .filter(|(_, queue)| queue["waiting"] != json!(0));
-    let busy = busy.map(|(pool, queue)| format!("; {pool}: {} waiting", queue["waiting"]));
-    busy.collect()
+    let nonempty = nonempty.map(|(pool, queue)| format!("; {pool}: {} waiting", queue["waiting"]));
+    nonempty.collect()
 }
--- a/src/command/serve.rs
+++ b/src/command/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: one VM.
+//! `serve`: runs the scheduler of one VM.
 
 use super::{Exit, stop_on_signal};
 use crate::code::Failure;
@@ -8,7 +8,7 @@
 use spdlog::{Level, LevelFilter};
 use std::path::Path;
 
-/// Serves until a signal to stop.
+/// Runs until SIGTERM or SIGINT.
 pub(crate) fn run(settings: &Path) -> Result<Exit, Failure> {
     let settings = Settings::load(settings)?;
     log_to_stderr(LevelFilter::MoreSevereEqual(Level::Info));
--- a/src/command/state.rs
+++ b/src/command/state.rs
@@ -1,4 +1,4 @@
-//! `state`: what VMs hold in memory.
+//! `state`: shows the in-memory state of VMs.
 
 use super::client::Client;
 use super::{Exit, paint, print_json, runtime};
@@ -7,11 +7,11 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Prints the state of each VM, by its address for operators.
+/// Prints the state of the VMs with the given operator addresses.
 pub(crate) fn run(vms: &[SocketAddr], json: bool) -> Result<Exit, Failure> {
     let client = Client::new();
     let runtime = runtime()?;
-    let mut all = Map::new();
+    let mut states = Map::new();
     let mut exit = Exit::Success;
     for vm in vms {
         match runtime.block_on(client.get(*vm, "/state")) {
@@ -19,9 +19,8 @@
                 if !json {
                     print!("{}", summary(&state));
                 }
-                all.insert(vm.to_string(), state);
+                states.insert(vm.to_string(), state);
             }
-            // The state of the others is still of use.
             Err(failure) => {
                 eprintln!("vanillatrail: {vm}: {failure}");
                 exit = Exit::from(&failure);
@@ -29,20 +28,20 @@
         }
     }
     if json {
-        print_json(&all)?;
+        print_json(&states)?;
     }
     Ok(exit)
 }
 
 fn summary(state: &Value) -> String {
     if state.get("services").is_some() {
-        return gateway(state);
+        return gateway_summary(state);
     }
     let local = &state["local"];
     let ready = if local["ready"] == true {
-        paint::good("ready")
+        paint::green("ready")
     } else {
-        paint::bad("not ready")
+        paint::red("not ready")
     };
     let shards = state["owner"]["shards"].as_object();
     let open: u64 = shards
@@ -53,15 +52,15 @@
     let count = |value: &Value| value.as_object().map_or(0, Map::len);
     let mut text = format!(
         "{} in {}: {ready}, configuration {}, {} members, {} shards, {open} programs open, {} calls running\n",
-        plain(&local["vm"]),
-        plain(&local["zone"]),
-        plain(&local["applied"]),
+        unquoted(&local["vm"]),
+        unquoted(&local["zone"]),
+        unquoted(&local["applied"]),
         count(&state["view"]["members"]),
         shards.map_or(0, Map::len),
         count(&state["owner"]["runs"]),
     );
     for (pool, queue) in state["dispatch"].as_object().into_iter().flatten() {
-        let waiting = plain(&queue["waiting"]);
+        let waiting = unquoted(&queue["waiting"]);
         let (running, window) = (&queue["running"], queue["window"].as_f64().unwrap_or(0.0));
         let _ = writeln!(
             text,
@@ -71,20 +70,19 @@
     text
 }
 
-/// The state of a VM that forwards requests of callers.
-fn gateway(state: &Value) -> String {
+fn gateway_summary(state: &Value) -> String {
     let count = |value: &Value| value.as_array().map_or(0, Vec::len);
     let mut text = format!(
-        "{}: configuration {} ({} routes), {} members, {} backend servers, the store heard {} ms ago, \
-         {} programs counted, {} idle connections\n",
-        plain(&state["vm"]),
-        plain(&state["config"]),
-        plain(&state["routes"]),
+        "{}: configuration {} ({} routes), {} members, {} backend servers, last store \
+         response {} ms ago, {} programs accounted, {} idle connections\n",
+        unquoted(&state["vm"]),
+        unquoted(&state["config"]),
+        unquoted(&state["routes"]),
         count(&state["members"]),
         count(&state["servers"]),
-        plain(&state["store_heard_ms"]),
-        plain(&state["counted"]["programs"]),
-        plain(&state["idle_connections"]),
+        unquoted(&state["store_heard_ms"]),
+        unquoted(&state["counted"]["programs"]),
+        unquoted(&state["idle_connections"]),
     );
     for (service, pool) in state["services"].as_object().into_iter().flatten() {
         let servers = pool["servers"].as_object();
@@ -92,14 +90,14 @@
         let running: u64 = running
             .filter_map(|server| server["in_flight"].as_u64())
             .sum();
-        let waiting = plain(&pool["waiting"]);
+        let waiting = unquoted(&pool["waiting"]);
         let _ = writeln!(text, "  {service}: {waiting} waiting, {running} running");
     }
     text
 }
 
-/// A JSON value without the quotes of a string.
-pub(super) fn plain(value: &Value) -> String {
+/// Formats a JSON value; strings without quotes.
+pub(super) fn unquoted(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), str::to_owned)
--- a/src/command/trial.rs
+++ b/src/command/trial.rs
@@ -1,4 +1,4 @@
-//! `trial`: the stand-ins, three VMs and their callers in one process.
+//! `trial`: runs a load test in one process.
 
 use super::{Exit, print_json};
 use crate::code::Failure;
@@ -6,7 +6,7 @@
 use crate::trial::{self, Options};
 use spdlog::{Level, LevelFilter};
 
-/// Runs a trial and prints its report; broken invariants are an exit code of their own.
+/// Runs a trial and prints its report; violated invariants have their own exit code.
 pub(crate) fn run(options: &Options, verbose: bool, json: bool) -> Result<Exit, Failure> {
     let level = if verbose {
         Level::Info
@@ -23,6 +23,6 @@
     Ok(if report.holds() {
         Exit::Success
     } else {
-        Exit::Broken
+        Exit::InvariantViolated
     })
 }
--- a/src/explain/group.rs
+++ b/src/explain/group.rs
@@ -1,4 +1,4 @@
-//! What became of the requests of each team, route, service or program.
+//! Request statistics per team, route, kind, service or program.
 
 use super::line::Line;
 use serde::Serialize;
@@ -7,10 +7,10 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Groups that are kept at the most.
-const GROUPS: usize = 100_000;
-/// What a request waited for, by the keys of its line.
-const WAITS: [&str; 5] = [
+/// Limit on memory for logs with many programs.
+const MAX_GROUPS: usize = 100_000;
+/// Log keys of the waiting times of a request.
+const WAIT_KEYS: [&str; 5] = [
     "allowed_ms",
     "limited_ms",
     "waited_ms",
@@ -18,7 +18,7 @@
     "kept_ms",
 ];
 
-/// By what requests are told apart.
+/// Log key by which requests are grouped.
 ///
 /// ```
 /// use vanillatrail::explain::Field;
@@ -27,15 +27,15 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Field {
-    /// The team whose key they bore.
+    /// Team that the request's API key belongs to.
     Team,
-    /// Their route.
+    /// Name of the matched route.
     Route,
-    /// The kind of their route.
+    /// Kind of the matched route.
     Kind,
-    /// The service that they went to.
+    /// Service that handled the request.
     Service,
-    /// Their program.
+    /// Agent program that sent the request.
     Program,
 }
 
@@ -71,24 +71,27 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let mut all = Self::ALL.into_iter();
         let field = all.find(|field| field.key() == text);
-        field.ok_or_else(|| format!("requests are not told apart by `{text}`"))
+        field.ok_or_else(|| format!("requests can't be grouped by `{text}`"))
     }
 }
 
-/// What became of the requests of one group.
+/// Statistics of the requests with one value of the grouping field.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Group {
-    /// What they have in common.
+    /// Value of the grouping field.
     pub name: String,
-    /// Requests that ended well.
-    pub good: u64,
-    /// Requests that ended otherwise.
-    pub bad: u64,
-    /// Those, by result.
+    /// Requests with a 2xx result.
+    #[serde(rename = "good")]
+    pub succeeded: u64,
+    /// Requests with another result.
+    #[serde(rename = "bad")]
+    pub failed: u64,
+    /// Failed requests by HTTP status or result code.
     pub results: BTreeMap<String, u64>,
-    /// Milliseconds that all of them together waited for tokens, limits, places, what was said before, and records.
+    /// Sum of the waiting times for token grants, team limits, slots, conversation history and
+    /// saved turns, in milliseconds.
     pub waited_ms: u64,
-    /// Milliseconds from the heads of requests to their last bytes, together.
+    /// Sum of the times from request head to last response byte, in milliseconds.
     pub total_ms: u64,
 }
 
@@ -96,17 +99,17 @@
     fn add(&mut self, line: &Line<'_>) {
         let result = line.get("result").unwrap_or("unknown");
         if result.starts_with('2') {
-            self.good += 1;
+            self.succeeded += 1;
         } else {
-            self.bad += 1;
+            self.failed += 1;
             *self.results.entry(result.to_owned()).or_default() += 1;
         }
-        self.waited_ms += WAITS.map(|key| line.millis(key)).iter().sum::<u64>();
+        self.waited_ms += WAIT_KEYS.map(|key| line.millis(key)).iter().sum::<u64>();
         self.total_ms += line.millis("total_ms");
     }
 }
 
-/// The requests of some logs by one field.
+/// Statistics of logged requests, grouped by one field.
 ///
 /// ```
 /// use vanillatrail::explain::{Field, Groups, Line};
@@ -115,59 +118,59 @@
 ///     let text = format!("ts=2026-12-03T02:01:25.000 event=request_ended team=payroll result={result}");
 ///     groups.add(&Line::parse(&text).unwrap());
 /// }
-/// let payroll = &groups.worst()[0];
-/// assert_eq!((payroll.name.as_str(), payroll.good, payroll.bad), ("payroll", 1, 1));
+/// let payroll = &groups.worst_first()[0];
+/// assert_eq!((payroll.name.as_str(), payroll.succeeded, payroll.failed), ("payroll", 1, 1));
 /// ```
 #[derive(Debug)]
 pub struct Groups {
     field: Field,
-    known: HashMap<String, Group>,
-    left_out: u64,
+    groups: HashMap<String, Group>,
+    dropped_lines: u64,
 }
 
 impl Groups {
-    /// No requests yet.
+    /// An empty set of groups.
     #[must_use]
     pub fn new(field: Field) -> Self {
         Self {
             field,
-            known: HashMap::new(),
-            left_out: 0,
+            groups: HashMap::new(),
+            dropped_lines: 0,
         }
     }
 
-    /// Takes in a line; those that tell of no request's end, or lack the field, count for nothing.
+    /// Adds a `request_ended` line that has the field; other lines are ignored.
     pub fn add(&mut self, line: &Line<'_>) {
         let name = line.get(self.field.key()).filter(|name| !name.is_empty());
         let Some(name) = name.filter(|_| line.event() == "request_ended") else {
             return;
         };
-        if let Some(group) = self.known.get_mut(name) {
+        if let Some(group) = self.groups.get_mut(name) {
             return group.add(line);
         }
-        if self.known.len() >= GROUPS {
-            self.left_out += 1;
+        if self.groups.len() >= MAX_GROUPS {
+            self.dropped_lines += 1;
             return;
         }
-        self.known.entry(name.to_owned()).or_default().add(line);
+        self.groups.entry(name.to_owned()).or_default().add(line);
     }
 
-    /// Lines that were left out, since there were too many groups.
+    /// Number of lines dropped because of the limit on groups.
     #[must_use]
-    pub const fn left_out(&self) -> u64 {
-        self.left_out
+    pub const fn dropped_lines(&self) -> u64 {
+        self.dropped_lines
     }
 
-    /// All groups, those with most bad ends first, and of these the ones that waited longest.
+    /// All groups, sorted by most failures, then by longest waiting time.
     #[must_use]
-    pub fn worst(&self) -> Vec<Group> {
-        let groups = self.known.iter().map(|(name, group)| Group {
+    pub fn worst_first(&self) -> Vec<Group> {
+        let groups = self.groups.iter().map(|(name, group)| Group {
             name: name.clone(),
             ..group.clone()
         });
         let mut groups: Vec<Group> = groups.collect();
         groups.sort_by(|one, other| {
-            let rank = |group: &Group| (Reverse(group.bad), Reverse(group.waited_ms));
+            let rank = |group: &Group| (Reverse(group.failed), Reverse(group.waited_ms));
             rank(one).cmp(&rank(other)).then(one.name.cmp(&other.name))
         });
         groups
--- a/src/explain/line.rs
+++ b/src/explain/line.rs
@@ -1,10 +1,10 @@
-//! One log line.
+//! Parser for log lines of VMs.
 
 use chrono::NaiveDateTime;
 
-/// Where the time of a line stands; anything before it is a prefix that a collector added.
-const TIME: &str = "ts=";
-const FORMAT: &str = "%Y-%m-%dT%H:%M:%S%.f";
+/// Start of a log line; anything before it is a prefix added by a log collector.
+const LINE_START: &str = "ts=";
+const TIME_FORMAT: &str = "%Y-%m-%dT%H:%M:%S%.f";
 
 /// One log line of a VM.
 ///
@@ -17,22 +17,22 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct Line<'a> {
-    /// What stood before the line.
+    /// Prefix added by a log collector; empty without one.
     pub prefix: &'a str,
-    /// When it was written.
+    /// Timestamp of the event.
     pub time: NaiveDateTime,
     pairs: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Line<'a> {
-    /// Reads a line; none where it is not one of a VM.
+    /// Parses a line; `None` if it was not written by a VM.
     #[must_use]
     pub fn parse(text: &'a str) -> Option<Self> {
-        let start = text.find(TIME)?;
+        let start = text.find(LINE_START)?;
         let (prefix, line) = text.split_at(start);
         let pairs = pairs(line);
         let (_, time) = pairs.first()?;
-        let time = NaiveDateTime::parse_from_str(time, FORMAT).ok()?;
+        let time = NaiveDateTime::parse_from_str(time, TIME_FORMAT).ok()?;
         let line = Self {
             prefix: prefix.trim(),
             time,
@@ -41,20 +41,20 @@
         line.get("event").is_some().then_some(line)
     }
 
-    /// The value of a key.
+    /// The value of a key, without quotes; `None` if the line lacks the key.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<&'a str> {
-        let pair = self.pairs.iter().find(|(known, _)| *known == key);
+        let pair = self.pairs.iter().find(|(name, _)| *name == key);
         pair.map(|(_, value)| *value)
     }
 
-    /// What it tells of.
+    /// Name of the logged event.
     #[must_use]
     pub fn event(&self) -> &'a str {
         self.get("event").unwrap_or_default()
     }
 
-    /// A number of milliseconds, or zero.
+    /// The value of a key in milliseconds; zero if it is missing or not a number.
     pub(super) fn millis(&self, key: &str) -> u64 {
         self.get(key)
             .and_then(|text| text.parse().ok())
@@ -62,7 +62,7 @@
     }
 }
 
-/// The pairs of a line. Values with spaces stand in quotes.
+/// Splits a line into key-value pairs. Values with spaces are quoted.
 fn pairs(mut rest: &str) -> Vec<(&str, &str)> {
     let mut pairs = Vec::new();
     while let Some((key, tail)) = rest.split_once('=') {
@@ -76,7 +76,7 @@
     pairs
 }
 
-/// Where the closing quote stands; quotes inside are escaped.
+/// Index of the closing quote, skipping escaped quotes.
 fn end_of_quote(text: &str) -> usize {
     let mut escaped = false;
     for (index, byte) in text.bytes().enumerate() {
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -1,4 +1,4 @@
-//! Where time went and what was refused, from the log lines of VMs that forward requests.
+//! Request statistics and errors from the logs of gateways.
 
 mod group;
 mod line;
@@ -6,4 +6,4 @@
 
 pub use group::{Field, Group, Groups};
 pub use line::Line;
-pub use slice::{Report, Summary, Times};
+pub use slice::{Percentiles, Report, Summary};
--- a/src/explain/slice.rs
+++ b/src/explain/slice.rs
@@ -1,4 +1,4 @@
-//! What happened in each slice of time.
+//! Request and event statistics per time slice.
 
 use super::line::Line;
 use chrono::{DateTime, NaiveDateTime};
@@ -8,10 +8,10 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Slices that are kept: a day in pieces of nine seconds.
-const SLICES: usize = 10_000;
-/// Events that are told of requests; all others tell what a VM believes.
-const OF_REQUESTS: [&str; 6] = [
+/// Limit on memory for logs of long periods.
+const MAX_SLICES: usize = 10_000;
+/// Events about single requests; all others report a state change of a VM.
+const REQUEST_EVENTS: [&str; 6] = [
     "request_ended",
     "request_refused",
     "attempt_failed",
@@ -19,75 +19,80 @@
     "turn_kept",
     "stream_resumed",
 ];
-/// The digits of a histogram that count.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// One measure of the requests of a slice, in milliseconds.
+/// Percentiles of a duration, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub struct Times {
-    /// The median.
+pub struct Percentiles {
+    /// 50th percentile (median).
     pub p50: u64,
-    /// Nine of ten are no longer.
+    /// 90th percentile.
     pub p90: u64,
-    /// 99 of 100 are no longer.
+    /// 99th percentile.
     pub p99: u64,
 }
 
-impl fmt::Display for Times {
+impl fmt::Display for Percentiles {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}/{}", self.p50, self.p90, self.p99)
     }
 }
 
-/// One slice of time.
 #[derive(Debug)]
 struct Slice {
-    good: u64,
+    succeeded: u64,
     results: BTreeMap<String, u64>,
-    beliefs: BTreeMap<String, u64>,
+    state_changes: BTreeMap<String, u64>,
     total: Histogram<u32>,
-    allowed: Histogram<u32>,
-    waited: Histogram<u32>,
-    kept: Histogram<u32>,
+    token_wait: Histogram<u32>,
+    slot_wait: Histogram<u32>,
+    turn_save: Histogram<u32>,
 }
 
 impl Default for Slice {
     fn default() -> Self {
-        let histogram = || Histogram::new(DIGITS).expect("the number of digits is allowed");
+        let histogram = || {
+            Histogram::new(SIGNIFICANT_DIGITS).expect("histograms support two significant digits")
+        };
         Self {
-            good: 0,
+            succeeded: 0,
             results: BTreeMap::new(),
-            beliefs: BTreeMap::new(),
+            state_changes: BTreeMap::new(),
             total: histogram(),
-            allowed: histogram(),
-            waited: histogram(),
-            kept: histogram(),
+            token_wait: histogram(),
+            slot_wait: histogram(),
+            turn_save: histogram(),
         }
     }
 }
 
-/// What is told of a slice.
+/// Statistics of one time slice.
 #[derive(Debug, Clone, Serialize)]
 pub struct Summary {
-    /// When it began.
+    /// Start of the slice.
     pub begin: NaiveDateTime,
-    /// Requests that ended well. Beyond 40 a second of a VM they are logged in part only.
-    pub good: u64,
-    /// Requests that ended otherwise, by result.
+    /// Requests with a 2xx result. VMs log only a sample of them under high load.
+    #[serde(rename = "good")]
+    pub succeeded: u64,
+    /// Other requests, by HTTP status or result code.
     pub results: BTreeMap<String, u64>,
-    /// Changes of what VMs believe, by event.
-    pub beliefs: BTreeMap<String, u64>,
-    /// From the head of a request to its last byte.
-    pub total: Times,
-    /// Waiting for leave to generate tokens.
-    pub allowed: Times,
-    /// Waiting for a place at a backend server.
-    pub waited: Times,
-    /// Waiting for a turn to be kept.
-    pub kept: Times,
+    /// State changes of VMs, by event name.
+    #[serde(rename = "beliefs")]
+    pub state_changes: BTreeMap<String, u64>,
+    /// Time from the request head to the last byte of the response.
+    pub total: Percentiles,
+    /// Time waiting for the token grant.
+    #[serde(rename = "allowed")]
+    pub token_wait: Percentiles,
+    /// Time waiting for a slot at a backend server.
+    #[serde(rename = "waited")]
+    pub slot_wait: Percentiles,
+    /// Time waiting for the turn to be saved.
+    #[serde(rename = "kept")]
+    pub turn_save: Percentiles,
 }
 
-/// All slices of some logs.
+/// Statistics of log lines by time slice.
 ///
 /// ```
 /// use std::time::Duration;
@@ -96,44 +101,44 @@
 /// let text = "ts=2026-12-03T02:01:25.000 event=request_ended id=a result=200 total_ms=40";
 /// report.add(&Line::parse(text).unwrap());
 /// let slices = report.summaries();
-/// assert_eq!((slices[0].good, slices[0].total.p50), (1, 40));
+/// assert_eq!((slices[0].succeeded, slices[0].total.p50), (1, 40));
 /// ```
 #[derive(Debug)]
 pub struct Report {
     width: Duration,
     slices: BTreeMap<i64, Slice>,
-    left_out: u64,
+    dropped_lines: u64,
 }
 
 impl Report {
-    /// An empty report whose slices last for `width`.
+    /// An empty report with slices of `width`.
     #[must_use]
     pub fn new(width: Duration) -> Self {
         Self {
             width: width.max(Duration::from_millis(1)),
             slices: BTreeMap::new(),
-            left_out: 0,
+            dropped_lines: 0,
         }
     }
 
-    /// Takes in a line. Beyond the bound on slices, lines of new ones are counted only.
+    /// Adds a line, or drops it if it would start a slice beyond the limit.
     pub fn add(&mut self, line: &Line<'_>) {
         let width_ms = i64::try_from(self.width.as_millis()).unwrap_or(i64::MAX);
         let begin = line.time.and_utc().timestamp_millis().div_euclid(width_ms);
-        if self.slices.len() >= SLICES && !self.slices.contains_key(&begin) {
-            self.left_out += 1;
+        if self.slices.len() >= MAX_SLICES && !self.slices.contains_key(&begin) {
+            self.dropped_lines += 1;
             return;
         }
         self.slices.entry(begin).or_default().add(line);
     }
 
-    /// Lines that were left out, since there were too many slices.
+    /// Number of lines dropped because of the limit on slices.
     #[must_use]
-    pub const fn left_out(&self) -> u64 {
-        self.left_out
+    pub const fn dropped_lines(&self) -> u64 {
+        self.dropped_lines
     }
 
-    /// What happened in each slice, in the order of time.
+    /// Statistics of each slice, in chronological order.
     #[must_use]
     pub fn summaries(&self) -> Vec<Summary> {
         let width_ms = i64::try_from(self.width.as_millis()).unwrap_or(i64::MAX);
@@ -150,22 +155,22 @@
     fn add(&mut self, line: &Line<'_>) {
         let event = line.event();
         if event != "request_ended" {
-            if !OF_REQUESTS.contains(&event) {
-                *self.beliefs.entry(event.to_owned()).or_default() += 1;
+            if !REQUEST_EVENTS.contains(&event) {
+                *self.state_changes.entry(event.to_owned()).or_default() += 1;
             }
             return;
         }
         let result = line.get("result").unwrap_or("unknown");
         if result.starts_with('2') {
-            self.good += 1;
+            self.succeeded += 1;
         } else {
             *self.results.entry(result.to_owned()).or_default() += 1;
         }
         for (histogram, key) in [
             (&mut self.total, "total_ms"),
-            (&mut self.allowed, "allowed_ms"),
-            (&mut self.waited, "waited_ms"),
-            (&mut self.kept, "kept_ms"),
+            (&mut self.token_wait, "allowed_ms"),
+            (&mut self.slot_wait, "waited_ms"),
+            (&mut self.turn_save, "kept_ms"),
         ] {
             histogram.saturating_record(line.millis(key));
         }
@@ -174,19 +179,19 @@
     fn summary(&self, begin: NaiveDateTime) -> Summary {
         Summary {
             begin,
-            good: self.good,
+            succeeded: self.succeeded,
             results: self.results.clone(),
-            beliefs: self.beliefs.clone(),
-            total: times(&self.total),
-            allowed: times(&self.allowed),
-            waited: times(&self.waited),
-            kept: times(&self.kept),
+            state_changes: self.state_changes.clone(),
+            total: percentiles(&self.total),
+            token_wait: percentiles(&self.token_wait),
+            slot_wait: percentiles(&self.slot_wait),
+            turn_save: percentiles(&self.turn_save),
         }
     }
 }
 
-fn times(histogram: &Histogram<u32>) -> Times {
-    Times {
+fn percentiles(histogram: &Histogram<u32>) -> Percentiles {
+    Percentiles {
         p50: histogram.value_at_quantile(0.5),
         p90: histogram.value_at_quantile(0.9),
         p99: histogram.value_at_quantile(0.99),
