--- a/src/acceptor.rs
+++ b/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Accepted connections that send at once.
+//! TCP acceptor that disables Nagle's algorithm.
 
 use poem::http::uri::Scheme;
 use poem::listener::{Acceptor, TcpAcceptor};
@@ -7,14 +7,13 @@
 use std::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// Accepts TCP connections and turns off the delay of small segments.
+/// Accepts TCP connections with `TCP_NODELAY`.
 ///
-/// With the delay on, the first token of a stream waits until the client has acknowledged the
-/// headers, which it puts off for 40 ms; an event stream is all small segments.
+/// Otherwise the first token of an event stream waits for the client's delayed ACK of the headers.
 pub(crate) struct NoDelay(TcpAcceptor);
 
 impl NoDelay {
-    /// An acceptor for a bound, non-blocking listener.
+    /// Wraps a bound, non-blocking listener.
     pub(crate) fn new(listener: TcpListener) -> io::Result<Self> {
         TcpAcceptor::from_std(listener).map(Self)
     }
@@ -29,7 +28,7 @@
 
     async fn accept(&mut self) -> io::Result<(Self::Io, LocalAddr, RemoteAddr, Scheme)> {
         let accepted = self.0.accept().await?;
-        // A peer that has gone already is found when its request is read.
+        // Fails only for a closed connection, which is detected when the request is read.
         let _ = accepted.0.set_nodelay(true);
         Ok(accepted)
     }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,8 +1,8 @@
-//! The wall clock, for reports, time limits and ages; no safety rests on it.
+//! Wall-clock time for reports, time limits and ages. Correctness must not depend on it.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Time since the Unix epoch; zero where the clock stands before it.
+/// Time since the Unix epoch; zero if the clock is set before it.
 pub(crate) fn since_epoch() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/code.rs
+++ b/src/code.rs
@@ -1,4 +1,4 @@
-//! Numbered result codes, and the failure that carries one to a caller.
+//! Numbered result codes, and the error type that reports one to a caller.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -8,11 +8,11 @@
 /// Whether the action behind a failed request took effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Ran {
-    /// It did not run and never will under this request.
+    /// It did not run and will not run for this request.
     No,
     /// It ran.
     Yes,
-    /// It was sent and its result is not known.
+    /// It was sent, and its outcome is unknown.
     Unknown,
 }
 
@@ -33,7 +33,7 @@
             serde_json::Value::Bool(true) => Ok(Self::Yes),
             serde_json::Value::String(text) if text == "unknown" => Ok(Self::Unknown),
             other => Err(serde::de::Error::custom(format!(
-                "not a run state: {other}"
+                "invalid value of `ran`: {other}"
             ))),
         }
     }
@@ -46,10 +46,10 @@
         pub enum Code { $(#[doc = $meaning] $name,)* }
 
         impl Code {
-            /// Every code, in the order of its number.
+            /// Every code.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// The four-digit number.
+            /// The number without the `VT` prefix.
             ///
             /// ```
             /// assert_eq!(vanillatrail::code::Code::BadBody.number(), 1001);
@@ -57,7 +57,7 @@
             #[must_use]
             pub const fn number(self) -> u16 { match self { $(Self::$name => $number,)* } }
 
-            /// The HTTP status that goes with the code.
+            /// HTTP status of responses with this code.
             ///
             /// ```
             /// assert_eq!(vanillatrail::code::Code::Overloaded.status(), 503);
@@ -65,7 +65,7 @@
             #[must_use]
             pub const fn status(self) -> u16 { match self { $(Self::$name => $status,)* } }
 
-            /// What the code means, in one sentence.
+            /// One-sentence description for people.
             ///
             /// ```
             /// assert!(vanillatrail::code::Code::BadBody.meaning().ends_with('.'));
@@ -79,48 +79,48 @@
 codes! {
     BadBody = 1001, 400, "The request body or a parameter is malformed.";
     TooLarge = 1002, 413, "The request body is larger than the limit.";
-    UnknownClass = 1003, 422, "The configuration has no such class.";
-    UnknownProgram = 1004, 404, "There is no such program, or it is no longer kept.";
-    UnknownService = 1005, 404, "The configuration has no such service or operation.";
-    KeyConflict = 1006, 409, "The opening key is in use with another class or budget.";
-    CallConflict = 1007, 409, "The call number is in use with another body.";
-    OutOfTurn = 1008, 409, "The call before this one has not been made.";
+    UnknownClass = 1003, 422, "The class is not configured.";
+    UnknownProgram = 1004, 404, "The program does not exist or has expired.";
+    UnknownService = 1005, 404, "The service or operation is not configured.";
+    KeyConflict = 1006, 409, "The opening key was already used with another class or budget.";
+    CallConflict = 1007, 409, "The call number was already used with another body.";
+    OutOfTurn = 1008, 409, "The previous call has not been made yet.";
     ProgramEnded = 1009, 409, "The program has ended.";
-    UnknownModel = 1010, 422, "The configuration has no pool for the model.";
+    UnknownModel = 1010, 422, "No pool is configured for the model.";
     UnknownCall = 1011, 404, "The program has no such call.";
-    UnknownRoute = 1012, 404, "No route leads to the host and path.";
-    UnknownTurn = 1013, 404, "There is no such turn to go on from, or it is no longer kept.";
-    UnknownKey = 1014, 401, "The request has no key, or no team holds it.";
-    BudgetExceeded = 2001, 409, "The call could pass the budget of the program.";
-    TurnLimit = 2002, 409, "The program has made as many calls as its class allows.";
-    DepthLimit = 2003, 409, "The program is nested as deep as its class allows.";
-    ChildLimit = 2004, 409, "The program has spawned as many children as its class allows.";
-    HistoryLimit = 2005, 409, "The history is as large as the class allows.";
-    TimeLimit = 2006, 409, "The program has run as long as its class allows.";
-    BudgetSpent = 2008, 402, "The token budget of the program is spent.";
-    LimitReached = 2009, 429, "The team has used up its limit of requests.";
-    TooManyPrograms = 2007, 429, "The VM holds as many open programs as it may.";
-    Overloaded = 3001, 503, "There is no capacity to finish the program in its target.";
+    UnknownRoute = 1012, 404, "No route matches the host and path.";
+    UnknownTurn = 1013, 404, "The previous turn does not exist or has expired.";
+    UnknownKey = 1014, 401, "The API key is missing or unknown.";
+    BudgetExceeded = 2001, 409, "The call could exceed the budget of the program.";
+    TurnLimit = 2002, 409, "The program has reached the call limit of its class.";
+    DepthLimit = 2003, 409, "The program has reached the nesting limit of its class.";
+    ChildLimit = 2004, 409, "The program has reached the child limit of its class.";
+    HistoryLimit = 2005, 409, "The conversation history has reached the size limit of the class.";
+    TimeLimit = 2006, 409, "The program has reached the time limit of its class.";
+    BudgetSpent = 2008, 402, "The token budget of the program is exhausted.";
+    LimitReached = 2009, 429, "The team has reached its request limit.";
+    TooManyPrograms = 2007, 429, "The VM has reached its limit of open programs.";
+    Overloaded = 3001, 503, "There is not enough capacity to finish the program within its target.";
     LogUnavailable = 3002, 503, "The log cannot be reached.";
-    NoOwner = 3003, 503, "No VM owns the shard of the program now.";
+    NoOwner = 3003, 503, "No VM currently owns the shard of the program.";
     NotOwner = 3004, 503, "Another VM owns the shard of the program.";
     Stopping = 3005, 503, "The VM is stopping.";
-    NoServer = 3006, 503, "No backend server can take the call now.";
+    NoServer = 3006, 503, "No backend server is available for the call.";
     DeadlinePassed = 3007, 504, "The deadline of the request passed.";
     RingFull = 3008, 503, "A queue inside the VM is full.";
     NotReady = 3009, 503, "The VM has not caught up with the configuration.";
     HistoryGap = 3010, 503, "Records of the program are missing from the log.";
-    HistoryAway = 3011, 503, "What was said before in the conversation can't be read now.";
+    HistoryAway = 3011, 503, "The conversation history is temporarily unavailable.";
     EngineFailed = 4001, 502, "The model engine failed.";
     ServiceFailed = 4002, 502, "The service failed.";
-    OutcomeUnknown = 4003, 502, "The call was sent and its outcome is not known; it is not sent again.";
+    OutcomeUnknown = 4003, 502, "The call was sent and its outcome is unknown; it is not retried.";
     BadSettings = 5001, 422, "A settings file is malformed.";
     ConfigConflict = 5002, 409, "The configuration key has changed since the base offset.";
     BadConfig = 5003, 422, "A configuration value is malformed or unsafe.";
-    NewerSchema = 5004, 422, "A configuration record has a newer schema than this VM knows.";
-    BadPeer = 5005, 403, "A peer did not prove itself with the key.";
-    Unreachable = 5006, 502, "An address does not answer.";
-    Internal = 9001, 500, "A fault inside the VM.";
+    NewerSchema = 5004, 422, "A configuration change has a newer schema than this VM supports.";
+    BadPeer = 5005, 403, "A peer failed to authenticate.";
+    Unreachable = 5006, 502, "A server cannot be reached.";
+    Internal = 9001, 500, "Internal error of the VM.";
 }
 
 impl fmt::Display for Code {
@@ -129,7 +129,7 @@
     }
 }
 
-/// The text is not a known code.
+/// Error for a text that is not a result code.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Unknown(String);
 
@@ -167,23 +167,23 @@
     }
 }
 
-/// A refusal or fault as the caller sees it.
+/// An error as reported to the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Failure {
-    /// The numbered code.
+    /// Result code.
     pub code: Code,
-    /// One sentence for a person.
+    /// Details for people.
     pub message: String,
     /// Whether the action took effect.
     pub ran: Ran,
-    /// When to come back, in milliseconds; absent when coming back is of no use.
+    /// Delay before a retry, in milliseconds; absent if a retry does not help.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Failure {
-    /// A refusal of something that did not run.
+    /// Creates a failure of an action that did not run, without a retry delay.
     ///
     /// ```
     /// use vanillatrail::code::{Code, Failure, Ran};
@@ -200,7 +200,7 @@
         }
     }
 
-    /// The same failure with a time to come back.
+    /// Sets the delay before a retry.
     ///
     /// ```
     /// use std::time::Duration;
@@ -214,7 +214,7 @@
         self
     }
 
-    /// The same failure with another run state.
+    /// Sets whether the action took effect.
     ///
     /// ```
     /// use vanillatrail::code::{Code, Failure, Ran};
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,27 +1,27 @@
-//! Newtypes for identities, positions and sizes.
+//! Newtypes for names, ids, positions and quantities.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The text is not a valid identity.
+/// Error for a text that is not a valid name, id or number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseError {
-    what: &'static str,
+    expected: &'static str,
     text: String,
 }
 
 impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "not a valid {}: `{}`", self.what, self.text)
+        write!(f, "not a valid {}: `{}`", self.expected, self.text)
     }
 }
 
 impl std::error::Error for ParseError {}
 
 macro_rules! name {
-    ($type:ident, $what:literal, $doc:literal) => {
+    ($type:ident, $expected:literal, $doc:literal) => {
         #[doc = $doc]
         #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(try_from = "String", into = "String")]
@@ -45,10 +45,10 @@
             type Err = ParseError;
 
             fn from_str(text: &str) -> Result<Self, Self::Err> {
-                let plain = |c: char| c.is_ascii_alphanumeric() || "-_.:/".contains(c);
-                if text.is_empty() || text.len() > 128 || !text.chars().all(plain) {
+                let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:/".contains(c);
+                if text.is_empty() || text.len() > 128 || !text.chars().all(is_allowed) {
                     return Err(ParseError {
-                        what: $what,
+                        expected: $expected,
                         text: text.chars().take(40).collect(),
                     });
                 }
@@ -73,7 +73,7 @@
 }
 
 macro_rules! number {
-    ($type:ident, $what:literal, $doc:literal) => {
+    ($type:ident, $expected:literal, $doc:literal) => {
         #[doc = $doc]
         #[derive(
             Debug,
@@ -102,7 +102,7 @@
 
             fn from_str(text: &str) -> Result<Self, Self::Err> {
                 text.parse().map(Self).map_err(|_| ParseError {
-                    what: $what,
+                    expected: $expected,
                     text: text.into(),
                 })
             }
@@ -113,81 +113,82 @@
 name!(
     Vm,
     "VM name",
-    "The name of one of the system's own VMs, from its settings."
-);
-name!(
-    Zone,
-    "availability zone",
-    "An availability zone, from the settings."
+    "Name of a VM that runs the scheduler, from its settings."
 );
+name!(Zone, "availability zone", "Name of an availability zone.");
 name!(
     Server,
     "backend server name",
-    "A backend server: a model engine or a service server."
+    "Name of a backend server: a model engine or a server of a service."
 );
 name!(
     Class,
     "class name",
-    "A class of programs, for which operators set a target."
+    "Name of a class of programs, for which operators set a latency target."
 );
 name!(
     Service,
     "service name",
-    "A plain service beside the engines."
+    "Name of a service other than the model engines."
+);
+name!(
+    Operation,
+    "operation name",
+    "Name of an operation of a service."
 );
-name!(Operation, "operation name", "An operation of a service.");
 name!(
     Model,
     "model name",
-    "A model that a pool of engines serves."
+    "Name of a model that a pool of engines serves."
 );
 
 number!(
     Boot,
     "process number",
-    "A random number that tells two runs of one VM apart."
+    "Random number that identifies one run of a VM's process."
 );
 number!(
     Incarnation,
     "incarnation",
-    "A number that a VM raises whenever it says something new of itself; the highest counts."
+    "Version of what a VM announces about itself by gossip; the highest is valid."
 );
 number!(
     Shard,
     "shard",
-    "A shard of programs; one VM owns it at a time."
+    "Number of a shard of programs; at most one VM owns it at a time."
 );
 number!(
     Call,
     "call number",
-    "The number of a call within its program, from 1."
+    "Number of a call within its program, from 1."
 );
 number!(
     Offset,
     "offset",
-    "The position of an entry in a stream of the log."
+    "Position of an entry in a stream of the log, from 0."
 );
 number!(
     Sequence,
     "sequence",
-    "The position of a record among those of one process."
+    "Sequence number of a record among those written by one process."
 );
-number!(Tokens, "token count", "A number of tokens.");
+number!(Tokens, "token count", "Number of model tokens.");
 number!(
     Millicores,
     "share of a core",
-    "Processor time, in thousandths of a core."
+    "CPU time, in thousandths of a core."
 );
 number!(
     Permit,
     "permit",
-    "Leave to send one call to one backend server."
+    "Id of a permit to send one call to one backend server."
 );
 
-/// Entries per append that an [`Epoch`] can tell apart.
-const EPOCH_ENTRIES: u64 = 1 << 16;
+/// Maximum number of records per append, as encoded in an [`Epoch`].
+const MAX_RECORDS_PER_APPEND: u64 = 1 << 16;
 
-/// The position of a claim in its stream: append offset, then place in the batch.
+/// Fencing token of a shard owner: the position of its claim in the stream, that is the append
+/// offset and the index in the batch.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -195,7 +196,7 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The epoch that a claim at this place starts.
+    /// The epoch of the claim at this position.
     ///
     /// ```
     /// use vanillatrail::id::{Epoch, Offset};
@@ -203,12 +204,12 @@
     /// ```
     #[must_use]
     pub const fn at(offset: Offset, index: usize) -> Self {
-        Self((offset.0 + 1) * EPOCH_ENTRIES + index as u64)
+        Self((offset.0 + 1) * MAX_RECORDS_PER_APPEND + index as u64)
     }
 }
 
 impl Epoch {
-    /// The offset of the claim.
+    /// Append offset of the claim.
     ///
     /// ```
     /// use vanillatrail::id::{Epoch, Offset};
@@ -216,7 +217,7 @@
     /// ```
     #[must_use]
     pub const fn offset(self) -> Offset {
-        Offset((self.0 / EPOCH_ENTRIES).saturating_sub(1))
+        Offset((self.0 / MAX_RECORDS_PER_APPEND).saturating_sub(1))
     }
 }
 
@@ -231,13 +232,13 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         text.parse().map(Self).map_err(|_| ParseError {
-            what: "epoch",
+            expected: "epoch",
             text: text.into(),
         })
     }
 }
 
-/// A program: its shard, and 128 random bits so that it cannot be guessed.
+/// Program id: the shard and 128 random bits, so that it can't be guessed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Program {
@@ -246,7 +247,7 @@
 }
 
 impl Program {
-    /// A program in `shard` with `random` as its unguessable part.
+    /// Creates the id of a program in `shard` from 128 random bits.
     ///
     /// ```
     /// use vanillatrail::id::{Program, Shard};
@@ -265,7 +266,7 @@
         }
     }
 
-    /// The shard that the id carries.
+    /// Shard that the program belongs to.
     ///
     /// ```
     /// use vanillatrail::id::{Program, Shard};
@@ -288,7 +289,7 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let malformed = || ParseError {
-            what: "program id",
+            expected: "program id",
             text: text.chars().take(60).collect(),
         };
         let (shard, random) = text
@@ -319,7 +320,7 @@
     }
 }
 
-/// The shard that an opening key falls into.
+/// Shard of the program that is opened with `key`.
 ///
 /// ```
 /// use vanillatrail::id::shard_of;
@@ -330,13 +331,13 @@
     Shard(xxh3_64(key.as_bytes()) % shards.max(1))
 }
 
-/// The digest of a request body, by which a repeated call is told from another one.
+/// Digest of a request body, to distinguish a retry from a different call with the same number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Digest([u8; 16]);
 
 impl Digest {
-    /// The digest of `bytes`.
+    /// Computes the truncated BLAKE3 hash of `bytes`.
     ///
     /// ```
     /// use vanillatrail::id::Digest;
@@ -344,13 +345,13 @@
     /// ```
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
-        let mut short = [0; 16];
-        short.copy_from_slice(&blake3::hash(bytes).as_bytes()[..16]);
-        Self(short)
+        let mut truncated = [0; 16];
+        truncated.copy_from_slice(&blake3::hash(bytes).as_bytes()[..16]);
+        Self(truncated)
     }
 }
 
-/// A rank for `candidate` under `key`; the highest is the rendezvous choice.
+/// Score of `candidate` for `key` in rendezvous hashing; the highest score wins.
 ///
 /// ```
 /// use vanillatrail::id::rendezvous_score;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,22 +1,22 @@
-//! A scheduler for agent programs whose callers are impatient, and the coordination parts that it
-//! is built from.
+//! A scheduler for latency-sensitive agent programs, and the coordination modules that it is built
+//! from.
 //!
-//! The parts decide and do no I/O: events and the time come in, verdicts and actions go out. Each
-//! can be embedded without the daemon, and each has an example in `examples/` that runs without a
-//! network.
+//! The modules below contain decision logic without I/O: their inputs are events and the time,
+//! their outputs are decisions and actions. Each can be used without the daemon, and most have an
+//! example in `examples/` that runs without a network.
 //!
-//! | Part | Decides | Example |
+//! | Module | Decides | Example |
 //! |---|---|---|
 //! | [`journal`] | how records are written to a log and read back | `journal` |
 //! | [`ownership`] | which VM owns a shard, by the order of the log alone | `ownership` |
-//! | [`program`] | the order of calls, the history, the budget and the kept answers | `program` |
+//! | [`program`] | the order of calls, the history, the budget and the stored answers | `program` |
 //! | [`effect`] | whether a call that must not be repeated may be sent | `effect` |
-//! | [`conversation`] | which turns lead to a turn, and which the store still lacks | |
-//! | [`config`] | which change of the configuration counts | `config` |
-//! | [`explain`] | where time went, from the logs of gateways | |
+//! | [`conversation`] | the history of a turn, and which turns are not stored yet | |
+//! | [`config`] | which configuration changes are accepted | `config` |
+//! | [`explain`] | latency and error statistics from the logs of gateways | |
 //! | [`policy`] | which call goes to which backend server, and when | `policy` |
-//! | [`member`] | which VMs are alive, and what they say of themselves | `member` |
-//! | [`order`] | which orders an engine is given to reach its wanted state | `order` |
+//! | [`member`] | which VMs are alive, and what they announce about themselves | `member` |
+//! | [`order`] | which orders bring an engine to its desired state | `order` |
 
 pub mod cli;
 pub mod code;
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,4 +1,4 @@
-//! The interface to operators: health, metrics and the state of the process.
+//! HTTP API for operators: health checks, metrics and the state of the process.
 
 use crate::config::Snapshot;
 use crate::dispatch;
@@ -12,12 +12,12 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// How long a duty may take to tell its state.
-const DUMP: Duration = Duration::from_secs(2);
+/// A duty that takes longer to report its state is left out of the response.
+const STATE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the handlers work with.
+/// State shared by the handlers.
 #[derive(Debug, Clone)]
-pub(crate) struct Operator {
+pub(crate) struct HandlerContext {
     pub(crate) local: watch::Receiver<Beat>,
     pub(crate) view: watch::Receiver<Arc<View>>,
     pub(crate) config: watch::Receiver<Arc<Snapshot>>,
@@ -26,13 +26,13 @@
     pub(crate) metrics: Metrics,
 }
 
-pub(crate) fn routes(operator: Operator) -> impl IntoEndpoint<Endpoint: 'static> {
+pub(crate) fn routes(context: HandlerContext) -> impl IntoEndpoint<Endpoint: 'static> {
     Route::new()
         .at("/healthz", get(healthz))
         .at("/readyz", get(readyz))
         .at("/metrics", get(metrics))
         .at("/state", get(state))
-        .data(operator)
+        .data(context)
 }
 
 #[handler]
@@ -41,8 +41,8 @@
 }
 
 #[handler]
-fn readyz(operator: Data<&Operator>) -> (StatusCode, &'static str) {
-    if operator.local.borrow().ready {
+fn readyz(context: Data<&HandlerContext>) -> (StatusCode, &'static str) {
+    if context.local.borrow().ready {
         (StatusCode::OK, "ready\n")
     } else {
         (StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
@@ -50,30 +50,30 @@
 }
 
 #[handler]
-fn metrics(operator: Data<&Operator>) -> String {
-    operator.metrics.text()
+fn metrics(context: Data<&HandlerContext>) -> String {
+    context.metrics.text()
 }
 
 #[handler]
-async fn state(operator: Data<&Operator>) -> Json<Value> {
+async fn state(context: Data<&HandlerContext>) -> Json<Value> {
     let (reply, dispatch) = oneshot::channel();
-    let _ = operator
+    let _ = context
         .dispatch
         .send_async(dispatch::Command::Dump(reply))
         .await;
     let (reply, owner) = oneshot::channel();
-    let _ = operator.owner.send_async(reply).await;
-    let told = |wait: oneshot::Receiver<Value>| async move {
-        tokio::time::timeout(DUMP, wait)
+    let _ = context.owner.send_async(reply).await;
+    let receive = |reply: oneshot::Receiver<Value>| async move {
+        tokio::time::timeout(STATE_TIMEOUT, reply)
             .await
             .ok()
             .and_then(Result::ok)
     };
-    let (dispatch, owner) = tokio::join!(told(dispatch), told(owner));
+    let (dispatch, owner) = tokio::join!(receive(dispatch), receive(owner));
     Json(json!({
-        "local": &*operator.local.borrow(),
-        "view": &**operator.view.borrow(),
-        "config": &**operator.config.borrow(),
+        "local": &*context.local.borrow(),
+        "view": &**context.view.borrow(),
+        "config": &**context.config.borrow(),
         "dispatch": dispatch,
         "owner": owner,
     }))
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -1,4 +1,4 @@
-//! One VM: its sockets, its duties and their order of stopping.
+//! Runs one VM: binds its sockets, starts its duties and stops them in order.
 
 use crate::acceptor::NoDelay;
 use crate::code::{Code, Failure};
@@ -7,7 +7,7 @@
 use crate::id::{self, Boot, Millicores, Offset};
 use crate::journal::{self, Pace, Share};
 use crate::member::{self, Beat, View};
-use crate::operator::{self, Operator};
+use crate::operator::{self, HandlerContext};
 use crate::order;
 use crate::owner;
 use crate::peer::{self, Links};
@@ -24,14 +24,14 @@
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-/// Lists of VMs that may wait.
-const LISTS: usize = 2;
-/// Places in the ring between two duties.
-const RING: usize = 4096;
-/// How long a stopping VM goes on accepting, so that the balancer sees that it is not ready.
-const UNREADY: Duration = Duration::from_secs(1);
+const VM_LIST_QUEUE_CAPACITY: usize = 2;
+/// Capacity of a queue between two duties.
+const QUEUE_CAPACITY: usize = 4096;
+/// A stopping VM still accepts connections for this long, until the load balancer has noticed that
+/// it is not ready.
+const NOT_READY_PERIOD: Duration = Duration::from_secs(1);
 
-/// The bound sockets of a VM.
+/// Bound sockets of a VM.
 #[derive(Debug)]
 pub(crate) struct Sockets {
     callers: TcpListener,
@@ -41,16 +41,16 @@
 }
 
 impl Sockets {
-    /// Binds every address, or none.
+    /// Binds all listen addresses.
     pub(crate) fn bind(listen: &Listen) -> Result<Self, Failure> {
         let tcp = |path: &str, address| {
             standin::bind(address)
                 .and_then(|listener| listener.set_nonblocking(true).map(|()| listener))
-                .map_err(|error| unbound(path, &error))
+                .map_err(|error| bind_error(path, &error))
         };
         let gossip = UdpSocket::bind(listen.peers)
             .and_then(|socket| socket.set_nonblocking(true).map(|()| socket))
-            .map_err(|error| unbound("listen.peers", &error))?;
+            .map_err(|error| bind_error("listen.peers", &error))?;
         Ok(Self {
             callers: tcp("listen.callers", listen.callers)?,
             peers: tcp("listen.peers", listen.peers)?,
@@ -60,68 +60,68 @@
     }
 }
 
-fn unbound(path: &str, error: &std::io::Error) -> Failure {
+fn bind_error(path: &str, error: &std::io::Error) -> Failure {
     Failure::refused(
         Code::BadSettings,
-        format!("at `{path}`: can't listen: {error}"),
+        format!("at `{path}`: can't bind the address: {error}"),
     )
 }
 
 #[derive(Debug, Clone)]
-struct Members(watch::Receiver<Arc<View>>);
+struct MemberCounter(watch::Receiver<Arc<View>>);
 
-impl Share for Members {
+impl Share for MemberCounter {
     fn members(&self) -> usize {
         self.0.borrow().members.len()
     }
 }
 
-/// The order in which the duties stop.
+/// Stages of a graceful shutdown, in order.
 #[derive(Debug, Clone)]
 struct Stages {
-    /// The VM says that it is not ready, whatever else changes.
-    unready: CancellationToken,
-    /// No new connections of callers; those in flight are finished.
+    /// The VM reports that it is not ready.
+    not_ready: CancellationToken,
+    /// The caller API accepts no new connections and finishes in-flight requests.
     entry: CancellationToken,
-    /// Cancelled once the last caller has its answer.
-    entry_over: CancellationToken,
-    /// Shards are handed over.
+    /// Cancelled when all in-flight requests are finished.
+    entry_done: CancellationToken,
+    /// The VM hands its shards over.
     owner: CancellationToken,
-    /// Cancelled once no shard is left.
-    owner_over: CancellationToken,
-    /// Everything else.
+    /// Cancelled when the VM owns no shards.
+    owner_done: CancellationToken,
+    /// All other duties stop.
     rest: CancellationToken,
 }
 
-/// Serves as one VM until `stop`, then stops without cutting what is in flight.
+/// Runs one VM until `stop` is cancelled, then shuts down gracefully.
 pub(crate) fn run(settings: &Settings, sockets: Sockets, stop: &CancellationToken) {
     let stages = Stages {
-        unready: CancellationToken::new(),
+        not_ready: CancellationToken::new(),
         entry: CancellationToken::new(),
-        entry_over: CancellationToken::new(),
+        entry_done: CancellationToken::new(),
         owner: CancellationToken::new(),
-        owner_over: CancellationToken::new(),
+        owner_done: CancellationToken::new(),
         rest: CancellationToken::new(),
     };
-    let local = Arc::new(watch::channel(first_beat(settings)).0);
+    let local = Arc::new(watch::channel(initial_announcement(settings)).0);
     let mut supervisor = Supervisor::new(stop.clone());
     start(&mut supervisor, settings, sockets, &local, &stages);
     event!(info, "vm_started", vm = settings.vm, zone = settings.zone);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("the system gives a runtime");
+        .expect("the runtime can be created");
     runtime.block_on(async {
         stop.cancelled().await;
         event!(info, "vm_stopping", vm = settings.vm);
-        stages.unready.cancel();
-        local.send_modify(|beat| beat.ready = false);
-        let bound = Duration::from_millis(settings.stop_ms);
-        tokio::time::sleep(UNREADY.min(bound)).await;
+        stages.not_ready.cancel();
+        local.send_modify(|announcement| announcement.ready = false);
+        let stop_timeout = Duration::from_millis(settings.stop_ms);
+        tokio::time::sleep(NOT_READY_PERIOD.min(stop_timeout)).await;
         stages.entry.cancel();
-        let _ = timeout(bound, stages.entry_over.cancelled()).await;
+        let _ = timeout(stop_timeout, stages.entry_done.cancelled()).await;
         stages.owner.cancel();
-        let _ = timeout(bound, stages.owner_over.cancelled()).await;
+        let _ = timeout(stop_timeout, stages.owner_done.cancelled()).await;
         stages.rest.cancel();
     });
     drop(runtime);
@@ -129,10 +129,10 @@
     event!(info, "vm_stopped", vm = settings.vm);
 }
 
-/// What a VM says of its processor time: these settings do not tell it, and all count as alike.
+/// CPU time announced to the members. These settings don't specify it, so all VMs count as equal.
 const ONE_CORE: Millicores = Millicores(1000);
 
-fn first_beat(settings: &Settings) -> Beat {
+fn initial_announcement(settings: &Settings) -> Beat {
     Beat {
         vm: settings.vm.clone(),
         zone: settings.zone.clone(),
@@ -145,9 +145,9 @@
     }
 }
 
-/// What the duties share: the sending ends of their rings, and what they watch.
+/// Handles shared by the duties: queue senders, watch receivers and clients.
 #[derive(Clone)]
-struct Wiring {
+struct Handles {
     settings: Settings,
     metrics: Metrics,
     log: Http,
@@ -168,40 +168,46 @@
     local: &Arc<watch::Sender<Beat>>,
     stages: &Stages,
 ) {
-    let (config, config_seen) = watch::channel(Arc::new(Snapshot::default()));
-    let (states, books_seen) = watch::channel(Arc::new(State::default()));
-    let (view, view_seen) = watch::channel(Arc::new(View::default()));
-    let (owner, asks) = flume::bounded(RING);
-    let (dumps, owner_dumps) = flume::bounded(RING);
-    let (dispatch, dispatched) = flume::bounded(RING);
-    let (journal, journaled) = flume::bounded(RING);
-    let (leaving, left) = flume::bounded(RING);
-    let (events, owner_events) = flume::bounded(RING);
-    let wiring = Wiring {
+    let (config, config_receiver) = watch::channel(Arc::new(Snapshot::default()));
+    let (states, states_receiver) = watch::channel(Arc::new(State::default()));
+    let (view, view_receiver) = watch::channel(Arc::new(View::default()));
+    let (owner, owner_requests) = flume::bounded(QUEUE_CAPACITY);
+    let (state_requests, owner_state_requests) = flume::bounded(QUEUE_CAPACITY);
+    let (dispatch, dispatch_commands) = flume::bounded(QUEUE_CAPACITY);
+    let (journal, journal_commands) = flume::bounded(QUEUE_CAPACITY);
+    let (draining, draining_receiver) = flume::bounded(QUEUE_CAPACITY);
+    let (journal_events, owner_events) = flume::bounded(QUEUE_CAPACITY);
+    let handles = Handles {
         settings: settings.clone(),
         metrics: Metrics::new(),
         log: Http::new(&settings.log),
         links: Links::new(&settings.peer_key),
         local: local.clone(),
-        config: config_seen,
-        view: view_seen,
-        states: books_seen,
+        config: config_receiver,
+        view: view_receiver,
+        states: states_receiver,
         owner,
         dispatch,
         stages: stages.clone(),
     };
-    wiring.config(supervisor, config, states);
-    wiring.member(supervisor, sockets.gossip, view, left);
-    wiring.journal(supervisor, journaled, events);
-    wiring.dispatch(supervisor, dispatched, leaving);
-    wiring.order(supervisor);
-    wiring.owner(supervisor, journal, asks, owner_events, owner_dumps);
-    wiring.peer(supervisor, sockets.peers);
-    wiring.entry(supervisor, sockets.callers);
-    wiring.operator(supervisor, sockets.operators, dumps);
+    handles.config(supervisor, config, states);
+    handles.member(supervisor, sockets.gossip, view, draining_receiver);
+    handles.journal(supervisor, journal_commands, journal_events);
+    handles.dispatch(supervisor, dispatch_commands, draining);
+    handles.order(supervisor);
+    handles.owner(
+        supervisor,
+        journal,
+        owner_requests,
+        owner_events,
+        owner_state_requests,
+    );
+    handles.peer(supervisor, sockets.peers);
+    handles.entry(supervisor, sockets.callers);
+    handles.operator(supervisor, sockets.operators, state_requests);
 }
 
-impl Wiring {
+impl Handles {
     fn config(
         &self,
         supervisor: &mut Supervisor,
@@ -233,24 +239,24 @@
         published: watch::Sender<Arc<View>>,
         leaving: flume::Receiver<id::Server>,
     ) {
-        let wiring = self.clone();
+        let handles = self.clone();
         supervisor.spawn("member", move || {
-            let settings = wiring.settings.clone();
-            let (lists, listed) = flume::bounded(LISTS);
-            let follow = member::follow(settings.vms, lists);
-            let work = member::run(member::Setup {
+            let settings = handles.settings.clone();
+            let (lists, listed) = flume::bounded(VM_LIST_QUEUE_CAPACITY);
+            let poll_vm_list = member::follow(settings.vms, lists);
+            let run = member::run(member::Setup {
                 introduction: watch::channel(None).0,
-                socket: socket.try_clone().expect("the system gives a handle"),
+                socket: socket.try_clone().expect("the socket can be duplicated"),
                 key: settings.peer_key,
                 seeds: settings.seeds,
                 listed,
-                local: wiring.local.subscribe(),
+                local: handles.local.subscribe(),
                 published: published.clone(),
                 leaving: leaving.clone(),
-                stop: wiring.stages.rest.clone(),
+                stop: handles.stages.rest.clone(),
             });
             async move {
-                tokio::select! { () = follow => {}, () = work => {} }
+                tokio::select! { () = poll_vm_list => {}, () = run => {} }
             }
         });
     }
@@ -264,15 +270,15 @@
         let pace = Pace {
             appends_per_second: self.settings.appends_per_second,
             streams: usize::try_from(self.settings.journal_streams).expect("checked to be small"),
-            share: Members(self.view.clone()),
+            share: MemberCounter(self.view.clone()),
         };
-        let wiring = self.clone();
+        let handles = self.clone();
         supervisor.spawn("journal", move || {
-            let (log, metrics) = (wiring.log.clone(), wiring.metrics.clone());
-            let work = journal::run(log, commands.clone(), events.clone(), pace.clone(), metrics);
-            let rest = wiring.stages.rest.clone();
+            let (log, metrics) = (handles.log.clone(), handles.metrics.clone());
+            let run = journal::run(log, commands.clone(), events.clone(), pace.clone(), metrics);
+            let rest = handles.stages.rest.clone();
             async move {
-                tokio::select! { () = work => {}, () = rest.cancelled() => {} }
+                tokio::select! { () = run => {}, () = rest.cancelled() => {} }
             }
         });
     }
@@ -307,9 +313,9 @@
         &self,
         supervisor: &mut Supervisor,
         journal: flume::Sender<journal::Command>,
-        asks: flume::Receiver<owner::Ask>,
+        requests: flume::Receiver<owner::Ask>,
         events: flume::Receiver<journal::Event>,
-        dumps: flume::Receiver<oneshot::Sender<serde_json::Value>>,
+        state_requests: flume::Receiver<oneshot::Sender<serde_json::Value>>,
     ) {
         let settings = &self.settings;
         let context = owner::Context {
@@ -334,11 +340,16 @@
         };
         let stages = self.stages.clone();
         supervisor.spawn("owner", move || {
-            let work = owner::run(context.clone(), asks.clone(), events.clone(), dumps.clone());
+            let run = owner::run(
+                context.clone(),
+                requests.clone(),
+                events.clone(),
+                state_requests.clone(),
+            );
             let stages = stages.clone();
             async move {
-                tokio::select! { () = work => {}, () = stages.rest.cancelled() => {} }
-                stages.owner_over.cancel();
+                tokio::select! { () = run => {}, () = stages.rest.cancelled() => {} }
+                stages.owner_done.cancel();
             }
         });
     }
@@ -352,7 +363,7 @@
         };
         let rest = self.stages.rest.clone();
         supervisor.spawn("peer", move || {
-            let listener = listener.try_clone().expect("the system gives a handle");
+            let listener = listener.try_clone().expect("the socket can be duplicated");
             peer::serve(listener, service.clone(), rest.clone())
         });
     }
@@ -371,13 +382,13 @@
             max_body: self.settings.max_body_bytes,
         };
         let stages = self.stages.clone();
-        let bound = Duration::from_millis(self.settings.stop_ms);
+        let stop_timeout = Duration::from_millis(self.settings.stop_ms);
         supervisor.spawn("entry", move || {
-            let listener = listener.try_clone().expect("the system gives a handle");
+            let listener = listener.try_clone().expect("the socket can be duplicated");
             let (routes, stages) = (entry::routes(entry.clone()), stages.clone());
             async move {
-                http(listener, routes, stages.entry, bound).await;
-                stages.entry_over.cancel();
+                serve_http(listener, routes, stages.entry, stop_timeout).await;
+                stages.entry_done.cancel();
             }
         });
     }
@@ -386,45 +397,49 @@
         &self,
         supervisor: &mut Supervisor,
         listener: TcpListener,
-        dumps: flume::Sender<oneshot::Sender<serde_json::Value>>,
+        state_requests: flume::Sender<oneshot::Sender<serde_json::Value>>,
     ) {
-        let operator = Operator {
+        let context = HandlerContext {
             local: self.local.subscribe(),
             view: self.view.clone(),
             config: self.config.clone(),
             dispatch: self.dispatch.clone(),
-            owner: dumps,
+            owner: state_requests,
             metrics: self.metrics.clone(),
         };
-        let wiring = self.clone();
+        let handles = self.clone();
         supervisor.spawn("operator", move || {
-            let listener = listener.try_clone().expect("the system gives a handle");
-            let routes = operator::routes(operator.clone());
-            let (config, local) = (wiring.config.clone(), wiring.local.clone());
-            tokio::task::spawn_local(readiness(config, local, wiring.stages.unready.clone()));
-            http(
+            let listener = listener.try_clone().expect("the socket can be duplicated");
+            let routes = operator::routes(context.clone());
+            let (config, local) = (handles.config.clone(), handles.local.clone());
+            tokio::task::spawn_local(update_readiness(
+                config,
+                local,
+                handles.stages.not_ready.clone(),
+            ));
+            serve_http(
                 listener,
                 routes,
-                wiring.stages.rest.clone(),
+                handles.stages.rest.clone(),
                 Duration::from_secs(1),
             )
         });
     }
 }
 
-/// Keeps what this VM says of itself in step with the configuration it has applied.
-async fn readiness(
+/// Updates the applied offset and the readiness of this VM when its configuration changes.
+async fn update_readiness(
     mut config: watch::Receiver<Arc<Snapshot>>,
     local: Arc<watch::Sender<Beat>>,
     stopping: CancellationToken,
 ) {
     loop {
         let snapshot = config.borrow_and_update().clone();
-        // Judged under the lock: a configuration that comes while the VM begins to stop must not
-        // make it ready again, or the balancer sends it callers until it is gone.
-        local.send_modify(|beat| {
-            beat.applied = snapshot.applied;
-            beat.ready = snapshot.allows_admission() && !stopping.is_cancelled();
+        // Checks `stopping` under the lock, so that a configuration change during the shutdown
+        // can't make the VM ready again.
+        local.send_modify(|announcement| {
+            announcement.applied = snapshot.applied;
+            announcement.ready = snapshot.allows_admission() && !stopping.is_cancelled();
         });
         tokio::select! {
             changed = config.changed() => if changed.is_err() { return },
@@ -433,11 +448,11 @@
     }
 }
 
-async fn http(
+async fn serve_http(
     listener: TcpListener,
     routes: impl IntoEndpoint<Endpoint: 'static>,
     stop: CancellationToken,
-    bound: Duration,
+    stop_timeout: Duration,
 ) {
     let acceptor = match NoDelay::new(listener) {
         Ok(acceptor) => acceptor,
@@ -447,10 +462,14 @@
         }
     };
     let endpoint = routes.into_endpoint().map_to_response();
-    let served = Server::new_with_acceptor(acceptor)
-        .run_with_graceful_shutdown(endpoint, async move { stop.cancelled().await }, Some(bound))
+    let result = Server::new_with_acceptor(acceptor)
+        .run_with_graceful_shutdown(
+            endpoint,
+            async move { stop.cancelled().await },
+            Some(stop_timeout),
+        )
         .await;
-    if let Err(error) = served {
+    if let Err(error) = result {
         event!(error, "serve_failed", reason = error);
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of one VM.
+//! Settings files of VMs and gateways.
 
 use crate::code::{Code, Failure};
 use crate::id;
@@ -7,63 +7,63 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The addresses that a VM listens on.
+/// Listen addresses of a VM.
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers, behind the balancer.
+    /// Caller API, behind the load balancer.
     pub callers: SocketAddr,
-    /// For the other VMs: TCP for requests, UDP for membership.
+    /// Other VMs: TCP for requests, UDP for gossip.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Operators: health checks, metrics and state.
     pub operators: SocketAddr,
 }
 
-/// The settings of one VM.
+/// Settings of one VM.
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The name of this VM, unique among the VMs.
+    /// Name of this VM, unique among all VMs.
     #[schemars(with = "String")]
     pub vm: id::Vm,
-    /// The availability zone of this VM.
+    /// Availability zone of this VM.
     #[schemars(with = "String")]
     pub zone: id::Zone,
-    /// Where this VM listens.
+    /// Listen addresses.
     pub listen: Listen,
-    /// Peer addresses of some other VMs.
+    /// Peer addresses of some other VMs, to join the cluster.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The key by which VMs prove themselves to each other; at least 16 characters.
+    /// Shared secret with which VMs authenticate each other; at least 16 characters.
     pub peer_key: String,
-    /// Base address of the log service, `http://IP:PORT`.
+    /// Base URL of the log service, `http://IP:PORT`.
     pub log: String,
-    /// Base address of the VM list, `http://IP:PORT`.
+    /// Base URL of the platform's VM list, `http://IP:PORT`.
     #[serde(default)]
     pub vms: Option<String>,
-    /// How many shards programs are spread over; the same on every VM, never changed.
+    /// Number of shards of programs. Must be the same on every VM and must never change.
     #[serde(default = "Settings::default_shards")]
     pub shards: u64,
-    /// How many journal streams the shards are spread over; the same on every VM.
+    /// Number of journal streams that the shards share. Must be the same on every VM.
     #[serde(default = "Settings::default_streams")]
     pub journal_streams: u64,
-    /// Appends a second that all VMs together may make.
+    /// Maximum rate of log appends of all VMs together.
     #[serde(default = "Settings::default_appends")]
     pub appends_per_second: u64,
-    /// How long the log keeps entries, in milliseconds.
+    /// Retention time of the log, in milliseconds.
     #[serde(default = "Settings::default_retention")]
     pub log_retention_ms: u64,
-    /// How long a planned stop may take, in milliseconds.
+    /// Timeout of a graceful shutdown, in milliseconds.
     #[serde(default = "Settings::default_stop")]
     pub stop_ms: u64,
-    /// Program trees that this VM may hold open.
+    /// Maximum number of open programs on this VM; children count with their parent.
     #[serde(default = "Settings::default_programs")]
     pub max_programs: usize,
-    /// Entries of a journal stream after which a shard is written again whole, so that the log may
-    /// trim what is older; well under what the log keeps.
+    /// Number of journal entries after which a checkpoint of a shard is written, so that the log
+    /// can trim older entries; well below the number that the log retains.
     #[serde(default = "Settings::default_checkpoint")]
     pub checkpoint_entries: u64,
-    /// Bytes that a request body may have.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "Settings::default_body")]
     pub max_body_bytes: usize,
 }
@@ -101,7 +101,7 @@
         1 << 20
     }
 
-    /// Reads and checks settings; a fault names its JSON path.
+    /// Parses and validates settings; an error message contains the JSON path.
     ///
     /// ```
     /// let failure = vanillatrail::settings::Settings::parse(r#"{"vm": 1}"#).unwrap_err();
@@ -109,9 +109,9 @@
     /// ```
     ///
     /// # Errors
-    /// [`Code::BadSettings`] with the path and the reason.
+    /// [`Code::BadSettings`] with the JSON path and the reason.
     pub fn parse(text: &str) -> Result<Self, Failure> {
-        let settings: Self = read(text)?;
+        let settings: Self = parse(text)?;
         let checks = [
             (
                 settings.shards >= 1 && settings.shards <= 65_536,
@@ -149,17 +149,17 @@
                 "peer_key",
                 "shorter than 16 characters",
             ),
-            (is_base(&settings.log), "log", "not `http://IP:PORT`"),
+            (is_base_url(&settings.log), "log", "not `http://IP:PORT`"),
             (
-                settings.vms.as_deref().is_none_or(is_base),
+                settings.vms.as_deref().is_none_or(is_base_url),
                 "vms",
                 "not `http://IP:PORT`",
             ),
         ];
-        verdict(settings, &checks)
+        validate(settings, &checks)
     }
 
-    /// Reads and checks the settings file at `path`.
+    /// Reads and validates the settings file at `path`.
     ///
     /// ```
     /// use std::path::Path;
@@ -167,57 +167,57 @@
     /// ```
     ///
     /// # Errors
-    /// [`Code::BadSettings`] when the file can't be read or is malformed.
+    /// [`Code::BadSettings`] if the file can't be read or is invalid.
     pub fn load(path: &Path) -> Result<Self, Failure> {
-        Self::parse(&text(path)?)
+        Self::parse(&read_file(path)?)
     }
 }
 
-fn is_base(text: &str) -> bool {
+fn is_base_url(text: &str) -> bool {
     text.strip_prefix("http://")
         .is_some_and(|rest| rest.parse::<SocketAddr>().is_ok())
 }
 
-/// The addresses that a gateway listens on.
+/// Listen addresses of a gateway.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Doors {
-    /// For callers, behind the balancer.
+    /// Caller API, behind the load balancer.
     pub callers: SocketAddr,
-    /// For the balancer, which asks whether this VM is ready.
+    /// Readiness check of the load balancer.
     pub ready: SocketAddr,
-    /// For operators: metrics and the state of the process.
+    /// Operators: metrics and state.
     pub operators: SocketAddr,
-    /// For the collector of metrics, where it does not come to the address for operators.
+    /// Additional address for metrics, if the collector does not use the operator address.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// For the other VMs: UDP for membership at this port, for requests at the next one, and for changes to the
-    /// directory at the one after that.
+    /// Other VMs. Three consecutive UDP ports: gossip at this port, requests at the next and
+    /// server directory changes at the one after that.
     pub peers: SocketAddr,
 }
 
-/// The platform's store.
+/// Address, rate limits and partitions of the platform's store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// Where it listens.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// Calls that write, a second, that all VMs together may make.
+    /// Maximum rate of write calls of all VMs together.
     pub writes_per_second: u64,
-    /// Calls that read, a second, that all VMs together may make.
+    /// Maximum rate of read calls of all VMs together.
     pub reads_per_second: u64,
-    /// Partitions of a topic.
+    /// Number of partitions of each topic.
     pub partitions: u64,
 }
 
-/// How soon a change has to act. What follows changes reads as seldom as these allow: reads are what
-/// hundreds of VMs cost the store most.
+/// Upper bounds on the propagation time of changes. They determine the polling interval; longer
+/// bounds reduce the read load on the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// Milliseconds after which a backend server that says that it leaves gets nothing new.
+    /// Time until a draining backend server gets no new requests, in milliseconds.
     pub drain_ms: u64,
-    /// Milliseconds after which an accepted configuration is in force.
+    /// Time until an accepted configuration is in effect, in milliseconds.
     pub config_ms: u64,
 }
 
@@ -230,15 +230,15 @@
     }
 }
 
-/// How closely the limits of teams are held, over all VMs together.
+/// Accuracy of the team limits, which hold over all VMs together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Seconds over which the requests of a team are counted.
+    /// Length of the sliding time window over which requests are counted, in seconds.
     pub window_s: f64,
-    /// The share by which a limit may be passed within that time.
+    /// Fraction by which a limit may be exceeded within a window.
     pub excess: f64,
-    /// Requests by which it may be passed beside that.
+    /// Requests by which a limit may be exceeded within a window in addition to `excess`.
     pub slack: f64,
 }
 
@@ -252,40 +252,41 @@
     }
 }
 
-/// The settings of one VM that forwards requests of callers.
+/// Settings of one gateway.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Gateway {
-    /// The name of this VM, unique among the VMs.
+    /// Name of this VM, unique among all VMs.
     #[schemars(with = "String")]
     pub vm: id::Vm,
-    /// The availability zone of this VM.
+    /// Availability zone of this VM.
     #[schemars(with = "String")]
     pub zone: id::Zone,
-    /// Where this VM listens.
+    /// Listen addresses.
     pub listen: Doors,
-    /// Addresses of some other VMs; only the IP numbers are used, since ports are the same on all.
+    /// Addresses of some other VMs, to join the cluster. Only the IP addresses are used; the
+    /// ports are the same on all VMs.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The key by which VMs prove themselves to each other; at least 16 characters.
+    /// Shared secret with which VMs authenticate each other; at least 16 characters.
     pub peer_key: String,
-    /// The platform's store.
+    /// Platform store.
     pub store: Store,
-    /// How soon a change has to act.
+    /// Upper bounds on the propagation time of changes.
     #[serde(default)]
     pub bounds: Bounds,
-    /// How closely the limits of teams are held.
+    /// Accuracy of the team limits.
     #[serde(default)]
     pub limits: Limits,
-    /// The share of a core that this VM has.
+    /// CPU cores available to this VM; may be a fraction.
     pub cores: f64,
-    /// How long a planned stop may take, in milliseconds.
+    /// Timeout of a graceful shutdown, in milliseconds.
     #[serde(default = "Settings::default_stop")]
     pub stop_ms: u64,
 }
 
 impl Gateway {
-    /// The processor time that this VM may use.
+    /// CPU time available to this VM.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -295,7 +296,7 @@
         id::Millicores((self.cores * 1000.0) as u64)
     }
 
-    /// Reads and checks settings; a fault names its JSON path.
+    /// Parses and validates settings; an error message contains the JSON path.
     ///
     /// ```
     /// let failure = vanillatrail::settings::Gateway::parse(r#"{"vm": 1}"#).unwrap_err();
@@ -303,9 +304,9 @@
     /// ```
     ///
     /// # Errors
-    /// [`Code::BadSettings`] with the path and the reason.
+    /// [`Code::BadSettings`] with the JSON path and the reason.
     pub fn parse(text: &str) -> Result<Self, Failure> {
-        let settings: Self = read(text)?;
+        let settings: Self = parse(text)?;
         let checks = [
             (
                 settings.peer_key.len() >= 16,
@@ -315,7 +316,7 @@
             (
                 settings.listen.peers.port() < u16::MAX - 1,
                 "listen.peers",
-                "has no two ports after it",
+                "no room for the two ports after it",
             ),
             (
                 settings.store.writes_per_second >= 1,
@@ -335,7 +336,7 @@
             (
                 settings.cores > 0.0 && settings.cores <= 1024.0,
                 "cores",
-                "not in 0..=1024",
+                "not above 0 and at most 1024",
             ),
             (settings.stop_ms >= 1000, "stop_ms", "under 1000"),
             (
@@ -364,10 +365,10 @@
                 "under 1500",
             ),
         ];
-        verdict(settings, &checks)
+        validate(settings, &checks)
     }
 
-    /// Reads and checks the settings file at `path`.
+    /// Reads and validates the settings file at `path`.
     ///
     /// ```
     /// use std::path::Path;
@@ -375,33 +376,35 @@
     /// ```
     ///
     /// # Errors
-    /// [`Code::BadSettings`] when the file can't be read or is malformed.
+    /// [`Code::BadSettings`] if the file can't be read or is invalid.
     pub fn load(path: &Path) -> Result<Self, Failure> {
-        Self::parse(&text(path)?)
+        Self::parse(&read_file(path)?)
     }
 }
 
-fn bad(path: &str, reason: &str) -> Failure {
+fn invalid(path: &str, reason: &str) -> Failure {
     Failure::refused(Code::BadSettings, format!("at `{path}`: {reason}"))
 }
 
-fn read<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, Failure> {
+fn parse<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, Failure> {
     let mut reader = serde_json::Deserializer::from_str(text);
     let settings = serde_path_to_error::deserialize(&mut reader)
-        .map_err(|error| bad(&error.path().to_string(), &error.inner().to_string()))?;
-    reader.end().map_err(|error| bad(".", &error.to_string()))?;
+        .map_err(|error| invalid(&error.path().to_string(), &error.inner().to_string()))?;
+    reader
+        .end()
+        .map_err(|error| invalid(".", &error.to_string()))?;
     Ok(settings)
 }
 
-/// The settings, if every check is good; a check has its verdict, its path and what is wrong.
-fn verdict<T>(settings: T, checks: &[(bool, &str, &str)]) -> Result<T, Failure> {
-    match checks.iter().find(|(good, _, _)| !good) {
-        Some((_, path, reason)) => Err(bad(path, reason)),
+/// Returns the settings if all checks pass. A check is the result, the JSON path and the error.
+fn validate<T>(settings: T, checks: &[(bool, &str, &str)]) -> Result<T, Failure> {
+    match checks.iter().find(|(passed, _, _)| !passed) {
+        Some((_, path, reason)) => Err(invalid(path, reason)),
         None => Ok(settings),
     }
 }
 
-fn text(path: &Path) -> Result<String, Failure> {
+fn read_file(path: &Path) -> Result<String, Failure> {
     std::fs::read_to_string(path).map_err(|error| {
         Failure::refused(Code::BadSettings, format!("{}: {error}", path.display()))
     })
--- a/src/supervisor.rs
+++ b/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! One thread for each duty, restarted when it panics, up to a limit.
+//! Runs each duty on a thread of its own and restarts it a limited number of times if it panics.
 
 use crate::telemetry::event;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -6,10 +6,10 @@
 use tokio::task::LocalSet;
 use tokio_util::sync::CancellationToken;
 
-/// How often one duty is started again before the process stops.
-const RESTARTS: u32 = 3;
+/// After this many restarts of one duty, the process stops.
+const MAX_RESTARTS: u32 = 3;
 
-/// The threads of one VM.
+/// Threads of one VM.
 #[derive(Debug)]
 pub(crate) struct Supervisor {
     stop: CancellationToken,
@@ -17,7 +17,7 @@
 }
 
 impl Supervisor {
-    /// A supervisor that cancels `stop` when a duty can't be kept up.
+    /// Creates a supervisor that cancels `stop` if a duty panics too often.
     pub(crate) fn new(stop: CancellationToken) -> Self {
         Self {
             stop,
@@ -25,27 +25,26 @@
         }
     }
 
-    /// Runs the futures that `start` makes on a thread of their own, one at a time.
+    /// Runs a duty on a new thread.
     ///
-    /// A duty that panics has lost what it held in memory; `start` makes it anew, and what must
-    /// last is read back from the log. One that panics again and again would serve nobody, so the
-    /// process stops and another VM takes over.
+    /// After a panic, `start` creates the duty again with empty memory; durable state is read back
+    /// from the log. If it keeps panicking, the process stops so that another VM takes over.
     pub(crate) fn spawn<F, S>(&mut self, name: &'static str, mut start: S)
     where
         F: Future<Output = ()>,
         S: FnMut() -> F + Send + 'static,
     {
         let stop = self.stop.clone();
-        let body = move || {
-            for attempt in 0..=RESTARTS {
+        let run_with_restarts = move || {
+            for attempt in 0..=MAX_RESTARTS {
                 let runtime = tokio::runtime::Builder::new_current_thread()
                     .enable_all()
                     .build()
-                    .expect("the system gives a runtime");
-                let run = AssertUnwindSafe(|| {
+                    .expect("the runtime can be created");
+                let run_once = AssertUnwindSafe(|| {
                     LocalSet::new().block_on(&runtime, async { start().await });
                 });
-                if catch_unwind(run).is_ok() {
+                if catch_unwind(run_once).is_ok() {
                     return;
                 }
                 event!(error, "duty_panicked", duty = name, attempt = attempt);
@@ -54,12 +53,12 @@
         };
         let thread = std::thread::Builder::new()
             .name(name.to_owned())
-            .spawn(body);
+            .spawn(run_with_restarts);
         self.threads
-            .push((name, thread.expect("the system gives a thread")));
+            .push((name, thread.expect("the thread can be created")));
     }
 
-    /// Waits until every duty has ended.
+    /// Waits until all duties have ended.
     pub(crate) fn join(self) {
         for (name, thread) in self.threads {
             if thread.join().is_err() {
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Logs, one line of key=value pairs for each event, and metrics.
+//! Structured logs, one line of key=value pairs per event, and metrics.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram, Meter, MeterProvider};
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Lines that may wait for standard output. At the usual 200 bytes a line they take 1 MB.
-const LINES: usize = 4096;
+/// Capacity of the queue of log lines for standard output.
+const MAX_QUEUED_LINES: usize = 4096;
 
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Writes one event as a line of key=value pairs.
 macro_rules! event {
@@ -28,7 +28,7 @@
 }
 pub(crate) use event;
 
-/// Pairs in the form ` key=value`, with quotes where a value holds a space.
+/// Formats pairs as ` key=value`; values with special characters are quoted.
 pub(crate) struct Pairs<'a>(pub(crate) &'a [(&'static str, &'a dyn fmt::Display)]);
 
 impl fmt::Display for Pairs<'_> {
@@ -45,22 +45,22 @@
     }
 }
 
-/// How many lines were dropped, since nobody read standard output fast enough.
+/// Number of log lines dropped because standard output was read too slowly.
 pub(crate) fn dropped_log_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Sends events of `level` and above to standard output, from a thread of its own.
+/// Logs events of `level` and above to standard output from a background thread.
 ///
-/// A pipe that nobody reads fills up; a request must not wait for it, so lines that find the ring
-/// full are dropped and counted.
+/// Lines are dropped and counted while the queue is full, so that requests never block on a slow
+/// reader.
 pub(crate) fn log_to_stdout(level: LevelFilter) {
     let formatter = PatternFormatter::new(pattern!(
         "ts={date}T{time}.{millisecond} level={level} {payload}{eol}"
     ));
     let output = StdStreamSink::builder().stdout().formatter(formatter);
     let pool = ThreadPool::builder()
-        .capacity(LINES.try_into().expect("not zero"))
+        .capacity(MAX_QUEUED_LINES.try_into().expect("not zero"))
         .build_arc();
     let (Ok(output), Ok(pool)) = (output.build_arc(), pool) else {
         return;
@@ -75,7 +75,7 @@
             .sink(sink)
             .level_filter(level)
             .error_handler(|_: spdlog::Error| {
-                DROPPED.fetch_add(1, Ordering::Relaxed);
+                DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
             })
             .build_arc()
     });
@@ -84,7 +84,7 @@
     }
 }
 
-/// Sends events of `level` and above to standard error.
+/// Logs events of `level` and above to standard error.
 pub(crate) fn log_to_stderr(level: LevelFilter) {
     let formatter = PatternFormatter::new(pattern!(
         "ts={date}T{time}.{millisecond} level={level} {payload}{eol}"
@@ -99,7 +99,7 @@
     }
 }
 
-/// Where instruments are registered, and what gives their text.
+/// Meter provider with its Prometheus exporter.
 #[derive(Clone)]
 pub(crate) struct Exporter {
     registry: Registry,
@@ -112,7 +112,7 @@
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .expect("a fresh registry takes the exporter");
+            .expect("a new registry accepts the exporter");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         Self {
             registry,
@@ -124,7 +124,7 @@
         self.provider.meter("vanillatrail")
     }
 
-    /// The text for `/metrics`.
+    /// All metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> String {
         let mut bytes = Vec::new();
         let families = self.registry.gather();
@@ -135,23 +135,23 @@
     }
 }
 
-/// The metrics of one VM.
+/// Metrics of one VM.
 #[derive(Clone)]
 pub(crate) struct Metrics {
     exporter: Exporter,
-    /// Requests answered, by result code.
+    /// Responses by result code.
     pub(crate) answers: Counter<u64>,
-    /// Calls that ran here as owner.
+    /// Calls run by this VM as shard owner.
     pub(crate) calls: Counter<u64>,
-    /// Time from a call's admission to its final answer, in milliseconds.
+    /// Time from the admission of a call to its final answer, in milliseconds.
     pub(crate) call_ms: Histogram<f64>,
-    /// Appends to the log.
+    /// Append requests to the log.
     pub(crate) appends: Counter<u64>,
-    /// Records in those appends.
+    /// Records written by the appends.
     pub(crate) records: Counter<u64>,
-    /// Shards claimed.
+    /// Shards claimed by this VM.
     pub(crate) claims: Counter<u64>,
-    /// Caches evicted for ended programs.
+    /// Engine caches evicted after their program ended.
     pub(crate) evictions: Counter<u64>,
 }
 
@@ -165,8 +165,11 @@
     pub(crate) fn new() -> Self {
         let exporter = Exporter::new();
         let meter = exporter.meter();
-        let counter = |name: &'static str, about: &'static str| {
-            meter.u64_counter(name).with_description(about).build()
+        let counter = |name: &'static str, description: &'static str| {
+            meter
+                .u64_counter(name)
+                .with_description(description)
+                .build()
         };
         Self {
             answers: counter("answers", "Requests answered, by result code"),
@@ -183,13 +186,13 @@
         }
     }
 
-    /// Counts an answer under `code`, `ok` for a success.
+    /// Counts a response; `code` is `ok` for a success.
     pub(crate) fn answer(&self, code: &str) {
         self.answers
             .add(1, &[KeyValue::new("code", code.to_owned())]);
     }
 
-    /// The text for `/metrics`.
+    /// All metrics in the Prometheus text format.
     pub(crate) fn text(&self) -> String {
         self.exporter.text()
     }
