--- a/src/command/program.rs
+++ b/src/command/program.rs
@@ -192,18 +192,18 @@
     Ok(Exit::Success)
 }
 
-fn reason(state: &Value, queues: &Map<String, Value>) -> String {
-    if state["ended"] == true {
-        return match state["ended_with"].as_str() {
+fn reason(program: &Value, queues: &Map<String, Value>) -> String {
+    if program["ended"] == true {
+        return match program["ended_with"].as_str() {
             Some(code) => format!("it has ended with code {code}"),
             None => "it has ended".to_owned(),
         };
     }
-    let owner = unquoted(&state["owner"]);
-    let next = unquoted(&state["next_call"]);
-    let running = &state["running"];
+    let owner = unquoted(&program["owner"]);
+    let next = unquoted(&program["next_call"]);
+    let running = &program["running"];
     let Some(stage) = running["stage"].as_str() else {
-        if !state["intent"].is_null() {
+        if !program["intent"].is_null() {
             return format!(
                 "call {next} was sent and its outcome is unknown; {owner} is asking the service for it"
             );
--- a/src/explain/group.rs
+++ b/src/explain/group.rs
@@ -124,7 +124,7 @@
 #[derive(Debug)]
 pub struct Groups {
     field: Field,
-    groups: HashMap<String, Group>,
+    by_name: HashMap<String, Group>,
     dropped_lines: u64,
 }
 
@@ -134,7 +134,7 @@
     pub fn new(field: Field) -> Self {
         Self {
             field,
-            groups: HashMap::new(),
+            by_name: HashMap::new(),
             dropped_lines: 0,
         }
     }
@@ -145,14 +145,14 @@
         let Some(name) = name.filter(|_| line.event() == "request_ended") else {
             return;
         };
-        if let Some(group) = self.groups.get_mut(name) {
+        if let Some(group) = self.by_name.get_mut(name) {
             return group.add(line);
         }
-        if self.groups.len() >= MAX_GROUPS {
+        if self.by_name.len() >= MAX_GROUPS {
             self.dropped_lines += 1;
             return;
         }
-        self.groups.entry(name.to_owned()).or_default().add(line);
+        self.by_name.entry(name.to_owned()).or_default().add(line);
     }
 
     /// Number of lines dropped because of the limit on groups.
@@ -164,7 +164,7 @@
     /// All groups, sorted by most failures, then by longest waiting time.
     #[must_use]
     pub fn worst_first(&self) -> Vec<Group> {
-        let groups = self.groups.iter().map(|(name, group)| Group {
+        let groups = self.by_name.iter().map(|(name, group)| Group {
             name: name.clone(),
             ..group.clone()
         });
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -169,7 +169,7 @@
     stages: &Stages,
 ) {
     let (config, config_receiver) = watch::channel(Arc::new(Snapshot::default()));
-    let (states, states_receiver) = watch::channel(Arc::new(State::default()));
+    let (config_states, config_states_receiver) = watch::channel(Arc::new(State::default()));
     let (view, view_receiver) = watch::channel(Arc::new(View::default()));
     let (owner, owner_requests) = flume::bounded(QUEUE_CAPACITY);
     let (state_requests, owner_state_requests) = flume::bounded(QUEUE_CAPACITY);
@@ -185,12 +185,12 @@
         local: local.clone(),
         config: config_receiver,
         view: view_receiver,
-        states: states_receiver,
+        states: config_states_receiver,
         owner,
         dispatch,
         stages: stages.clone(),
     };
-    handles.config(supervisor, config, states);
+    handles.config(supervisor, config, config_states);
     handles.member(supervisor, sockets.gossip, view, draining_receiver);
     handles.journal(supervisor, journal_commands, journal_events);
     handles.dispatch(supervisor, dispatch_commands, draining);
