--- a/src/cli.rs
+++ b/src/cli.rs
@@ -182,7 +182,7 @@
 enum Plant {
     /// A confirmed effect is executed a second time.
     DoubledEffect,
-    /// An engine keeps cache for a program that has ended.
+    /// An engine keeps the cache of a program that has ended.
     HeldMemory,
 }
 
--- a/src/command/client.rs
+++ b/src/command/client.rs
@@ -46,7 +46,7 @@
     ) -> Result<reqwest::Response, Failure> {
         let request = self.http.get(format!("http://{address}{path}"));
         let response = request.header("accept", "text/event-stream").send().await;
-        let response = response.map_err(|error| unreachable(&error))?;
+        let response = response.map_err(|error| connection_error(&error))?;
         if response.status().is_success() {
             return Ok(response);
         }
@@ -55,9 +55,15 @@
 }
 
 async fn send(request: reqwest::RequestBuilder) -> Result<Value, Failure> {
-    let response = request.send().await.map_err(|error| unreachable(&error))?;
+    let response = request
+        .send()
+        .await
+        .map_err(|error| connection_error(&error))?;
     if response.status().is_success() {
-        return response.json().await.map_err(|error| unreachable(&error));
+        return response
+            .json()
+            .await
+            .map_err(|error| connection_error(&error));
     }
     Err(read_failure(response).await)
 }
@@ -73,7 +79,7 @@
     response.json().await.unwrap_or_else(not_a_failure)
 }
 
-fn unreachable(error: &reqwest::Error) -> Failure {
+fn connection_error(error: &reqwest::Error) -> Failure {
     let ran = if error.is_connect() {
         Ran::No
     } else {
--- a/src/command/config.rs
+++ b/src/command/config.rs
@@ -103,7 +103,7 @@
 
 /// Appends a change. Its id makes a retry after a lost reply idempotent.
 async fn append(log: &Http, change: &Change) -> Result<Offset, Failure> {
-    let entry = serde_json::to_vec(change).map_err(|error| malformed(&error))?;
+    let entry = serde_json::to_vec(change).map_err(|error| serialization_error(&error))?;
     let entry = Bytes::from(entry);
     let mut last_error = Fault(String::new());
     for _ in 0..MAX_APPEND_ATTEMPTS {
@@ -152,7 +152,7 @@
 
 /// The value without its enum tag, as written in a change.
 fn untagged(value: &crate::config::Value) -> Result<Value, Failure> {
-    let tagged = serde_json::to_value(value).map_err(|error| malformed(&error))?;
+    let tagged = serde_json::to_value(value).map_err(|error| serialization_error(&error))?;
     let inner = tagged.as_object().and_then(|object| object.values().next());
     Ok(inner.cloned().unwrap_or_default())
 }
@@ -165,7 +165,7 @@
         .collect()
 }
 
-fn malformed(error: &serde_json::Error) -> Failure {
+fn serialization_error(error: &serde_json::Error) -> Failure {
     Failure::refused(Code::Internal, error.to_string())
 }
 
--- a/src/command/describe.rs
+++ b/src/command/describe.rs
@@ -20,7 +20,7 @@
 }
 
 /// First digit of the codes of a group, and its heading.
-const GROUPS: [(u16, &str); 6] = [
+const CODE_GROUPS: [(u16, &str); 6] = [
     (
         1,
         "The request is invalid: correct it before sending it again",
@@ -57,7 +57,7 @@
         `true`, it ran; `\"unknown\"`, it was sent and its outcome is unknown. Without \
         `retry_after_ms`, a retry does not help.\n"
         .to_owned();
-    for (digit, heading) in GROUPS {
+    for (digit, heading) in CODE_GROUPS {
         let _ = write!(
             page,
             "\n## {heading}\n\n| Code | HTTP | Name | Meaning |\n|---|---|---|---|\n"
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -106,7 +106,7 @@
         let (lines, others) = (self.lines, self.other_lines);
         let groups = self.groups.as_ref();
         let dropped = groups.map_or_else(|| self.report.dropped_lines(), Groups::dropped_lines);
-        eprintln!("{lines} lines read, {others} that are none of a VM, {dropped} left out");
+        eprintln!("{lines} lines read, {others} that are none of a VM, {dropped} dropped");
         if self.options.id.is_some() || self.options.program.is_some() {
             // Merges the logs of several VMs by time.
             self.matches.sort();
--- a/src/command/program.rs
+++ b/src/command/program.rs
@@ -11,7 +11,7 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// Subcommands.
+/// Subcommand of `program`.
 #[derive(Debug, Clone)]
 pub(crate) enum Action {
     /// Open a program; idempotent per key.
--- a/src/config/duty.rs
+++ b/src/config/duty.rs
@@ -1,4 +1,4 @@
-//! The configuration task: follows the stream and publishes the effective configuration.
+//! Follows the configuration stream and publishes the effective configuration.
 
 use super::state::{Decision, Outcome, State};
 use super::value::Snapshot;
@@ -23,7 +23,7 @@
 /// A VM that reaches neither the log nor a peer for this long stops admitting programs.
 const ISOLATION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Inputs and outputs of the configuration task.
+/// Inputs and outputs of the configuration duty.
 #[derive(Debug, Clone)]
 pub(crate) struct Context<L> {
     pub(crate) me: Vm,
@@ -83,8 +83,14 @@
     } = decision;
     match outcome {
         Outcome::Accepted => event!(info, "config_accepted", key = key, offset = offset),
-        Outcome::Repeated(of) => {
-            event!(info, "config_repeated", key = key, offset = offset, of = of);
+        Outcome::Repeated(original) => {
+            event!(
+                info,
+                "config_repeated",
+                key = key,
+                offset = offset,
+                of = original
+            );
         }
         Outcome::Refused(failure) => {
             event!(
--- a/src/config/state.rs
+++ b/src/config/state.rs
@@ -81,7 +81,7 @@
     Deferred,
 }
 
-/// The result for the entry at one offset.
+/// Decision about the entry at one offset.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Decision {
@@ -100,29 +100,33 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct State {
-    // Removed keys stay as tombstones, so that a change with an older base still conflicts.
+    /// Removed keys stay as tombstones, so that a change with an older base still conflicts.
     settings: BTreeMap<String, Setting>,
     history: Vec<Decision>,
+    /// Offset of the next entry to apply.
     applied: Offset,
+    /// Time of the last checkpoint in the stream, in milliseconds since the Unix epoch.
     checkpoint_ms: Option<u64>,
+    /// Entries applied since the last checkpoint.
     entries_since: u64,
     newer_schema: bool,
     #[serde(skip)]
     caught_up: bool,
-    // Set while trimmed entries are missing. Later entries are deferred, because without the
-    // missing ones their results could differ from those on other VMs.
+    /// Set while trimmed entries are missing. Later entries are deferred, because without the
+    /// missing ones the decisions could differ from those on other VMs.
     #[serde(skip)]
     gap: Option<Gap>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 struct Gap {
+    /// First offset that the log still has.
     first: Offset,
     deferred: Vec<(Offset, Vec<u8>)>,
 }
 
 impl State {
-    /// Limit on the results kept for operators.
+    /// Number of decisions kept for operators.
     const MAX_HISTORY: usize = 1000;
     /// A checkpoint is due after this many entries, regardless of its age.
     const MAX_ENTRIES_SINCE_CHECKPOINT: u64 = 1000;
@@ -139,7 +143,7 @@
         self.applied
     }
 
-    /// The most recent results, oldest first.
+    /// The most recent decisions, oldest first.
     ///
     /// ```
     /// assert!(vanillatrail::config::State::default().history().is_empty());
@@ -430,7 +434,9 @@
 }
 
 enum ValidChange {
+    /// The value to set; `None` removes the key.
     New(Option<Value>),
+    /// Offset of the accepted change with the same id.
     Repeated(Offset),
 }
 
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -152,6 +152,7 @@
     metrics: Metrics,
     log: Http,
     links: Links,
+    /// What this VM announces about itself to the members.
     local: Arc<watch::Sender<Beat>>,
     config: watch::Receiver<Arc<Snapshot>>,
     view: watch::Receiver<Arc<View>>,
