--- a/src/command/config.rs
+++ b/src/command/config.rs
@@ -262,7 +262,7 @@
         Outcome::Repeated(original) => format!("duplicate of {original}"),
         Outcome::Refused(failure) => format!("{} {failure}", paint::red("refused")),
         Outcome::Checkpoint => return format!("{} checkpoint", decision.offset),
-        Outcome::Deferred => "deferred".to_owned(),
+        Outcome::Deferred => "held".to_owned(),
     };
     format!(
         "{} {} by {}: {outcome}",
