--- a/src/gateway/front/operators.rs
+++ b/src/gateway/front/operators.rs
@@ -94,7 +94,7 @@
             "conversations": self.conversations.usage(),
             "idle_connections": self.connections.idle_count(),
             "members": view.members.values().map(|member| &member.vm).collect::<Vec<_>>(),
-            "dropped_log_lines": telemetry::dropped_lines(),
+            "dropped_log_lines": telemetry::dropped_log_lines(),
         })
     }
 }
--- a/src/gateway/queue/lease.rs
+++ b/src/gateway/queue/lease.rs
@@ -7,7 +7,7 @@
 use crate::gateway::peers::{Asked, Peer, Question, Reply};
 use crate::gateway::queue::permit::{Permit, SlotGuard, SlotOwner, no_server, overloaded};
 use crate::gateway::{Gateway, peers};
-use crate::id::{self, rendezvous};
+use crate::id::{self, rendezvous_score};
 use crate::policy::dispatch::{Outcome, Request};
 use crate::telemetry::event;
 use std::cell::RefCell;
@@ -83,7 +83,7 @@
         let min_cores = id::Millicores(max_cores.unwrap_or_default().0 / MIN_CORES_DIVISOR);
         let mut ranked: Vec<_> = ready
             .filter(|member| member.cores >= min_cores)
-            .map(|member| (rendezvous(&key, member.vm.as_str()), member))
+            .map(|member| (rendezvous_score(&key, member.vm.as_str()), member))
             .collect();
         ranked.sort_by_key(|(rank, _)| std::cmp::Reverse(*rank));
         let preferred = ranked
--- a/src/gateway/tokens/failover.rs
+++ b/src/gateway/tokens/failover.rs
@@ -5,7 +5,7 @@
 use crate::gateway::tokens::owner::TAKEOVER_TIMEOUT;
 use crate::gateway::tokens::partition::Partition;
 use crate::gateway::tokens::partitions::STORE_TIMEOUT;
-use crate::id::{Offset, Shard, rendezvous};
+use crate::id::{Offset, Shard, rendezvous_score};
 use crate::platform::store::Error;
 use crate::policy::share::Origin;
 use std::net::SocketAddr;
@@ -187,7 +187,7 @@
         let view = self.view.borrow();
         let key = format!("allowance/{part}");
         let first = view.members.values();
-        let first = first.max_by_key(|member| rendezvous(&key, member.vm.as_str()));
+        let first = first.max_by_key(|member| rendezvous_score(&key, member.vm.as_str()));
         let is_first = first.is_some_and(|first| first.vm == self.settings.vm);
         is_first && view.owner(Shard(part)).is_none()
     }
--- a/src/member/duty.rs
+++ b/src/member/duty.rs
@@ -134,5 +134,5 @@
 /// Incarnation from the wall clock, so that it exceeds those of earlier runs. If the clock went
 /// back, peers report the higher incarnation and this VM raises its own above it.
 fn first_incarnation() -> Incarnation {
-    Incarnation(clock::wall().as_secs().max(1))
+    Incarnation(clock::since_epoch().as_secs().max(1))
 }
--- a/src/ownership/claimer.rs
+++ b/src/ownership/claimer.rs
@@ -1,6 +1,6 @@
 //! When a VM claims a shard without an owner, or hands one over to balance the load.
 
-use crate::id::{Epoch, Shard, Vm, rendezvous};
+use crate::id::{Epoch, Shard, Vm, rendezvous_score};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -137,14 +137,15 @@
                 && (member.owned.len() as u64) < even_share
         });
         let key = format!("shard/{shard}");
-        let recipient = recipients.max_by_key(|member| rendezvous(&key, member.vm.as_str()))?;
+        let recipient =
+            recipients.max_by_key(|member| rendezvous_score(&key, member.vm.as_str()))?;
         self.last_handover = Some(now);
         Some((*shard, recipient.vm.clone()))
     }
 
     fn rank(&self, shard: Shard, members: &[Claims]) -> Option<usize> {
         let key = format!("shard/{shard}");
-        let score = |vm: &Vm| (rendezvous(&key, vm.as_str()), vm.clone());
+        let score = |vm: &Vm| (rendezvous_score(&key, vm.as_str()), vm.clone());
         let own_score = score(&self.me);
         let mut eligible = members.iter().filter(|member| member.eligible).peekable();
         eligible.clone().find(|member| member.vm == self.me)?;
--- a/src/peer/connections.rs
+++ b/src/peer/connections.rs
@@ -2,7 +2,7 @@
 
 use super::MAX_MESSAGE_BYTES;
 use crate::code::Failure;
-use crate::config::Book;
+use crate::config::State;
 use crate::dispatch::{Grant, Key};
 use crate::id::Permit;
 use crate::owner::{Frame, Request};
@@ -84,7 +84,7 @@
     }
 
     /// Fetches the configuration that the peer at `to` has applied.
-    pub(crate) async fn fetch_config(&self, to: SocketAddr) -> Result<Book, Disconnected> {
+    pub(crate) async fn fetch_config(&self, to: SocketAddr) -> Result<State, Disconnected> {
         let client = self.client(to).await?;
         client
             .request("config", rpc_params![&self.key])
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -2,7 +2,7 @@
 
 use super::MAX_MESSAGE_BYTES;
 use crate::code::{Code, Failure};
-use crate::config::Book;
+use crate::config::State;
 use crate::dispatch::{self, Grant, Key};
 use crate::id::Permit;
 use crate::owner::{Ask, Frame, Request};
@@ -30,7 +30,7 @@
     pub(crate) key: String,
     pub(crate) owner: flume::Sender<Ask>,
     pub(crate) dispatch: flume::Sender<dispatch::Command>,
-    pub(crate) config: watch::Receiver<Arc<Book>>,
+    pub(crate) config: watch::Receiver<Arc<State>>,
 }
 
 impl Service {
@@ -116,7 +116,7 @@
         .register_method("config", |params, service, _| {
             let key: String = params.one()?;
             service.check_key(&key)?;
-            Ok::<Book, ErrorObjectOwned>(service.config.borrow().as_ref().clone())
+            Ok::<State, ErrorObjectOwned>(service.config.borrow().as_ref().clone())
         })
         .expect("method names are unique");
     module
