--- a/src/gateway/front/accept.rs
+++ b/src/gateway/front/accept.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! HTTP connections of callers.
 
 use super::listen::ACCEPT_PAUSE;
 use super::socket;
@@ -13,9 +13,9 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// Accepts connections of callers until it is stopped, then waits for those that are open.
+/// Accepts connections of callers until `stop` is cancelled, then waits for the open ones to end.
 pub(super) async fn accept(gateway: Rc<Gateway>, listener: TcpListener, stop: CancellationToken) {
-    let mut open = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -23,8 +23,12 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                open.spawn_local(connection(Rc::clone(&gateway), stream, stop.clone()));
-                while open.try_join_next().is_some() {}
+                connections.spawn_local(serve_connection(
+                    Rc::clone(&gateway),
+                    stream,
+                    stop.clone(),
+                ));
+                while connections.try_join_next().is_some() {}
             }
             Err(error) => {
                 event!(warn, "accept_failed", reason = error);
@@ -33,28 +37,28 @@
         }
     }
     drop(listener);
-    while open.join_next().await.is_some() {}
+    while connections.join_next().await.is_some() {}
 }
 
-async fn connection(gateway: Rc<Gateway>, stream: TcpStream, stop: CancellationToken) {
+async fn serve_connection(gateway: Rc<Gateway>, stream: TcpStream, stop: CancellationToken) {
     if let Err(error) = socket::tune(&stream) {
         event!(debug, "socket_options_failed", reason = error);
     }
-    let sizes = gateway
+    let limits = gateway
         .world
         .borrow()
         .table
         .as_ref()
         .map(|table| table.request_limits);
-    let sizes = sizes.unwrap_or_default();
+    let limits = limits.unwrap_or_default();
     let service = service_fn(move |request| request::handle(Rc::clone(&gateway), request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(sizes.idle_timeout)
-        .max_buf_size(sizes.max_head_bytes.max(8192))
+        .header_read_timeout(limits.idle_timeout)
+        .max_buf_size(limits.max_head_bytes.max(8192))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    // An error is the caller's leaving, or malformed input, which has been answered.
+    // An error means that the caller disconnected, or sent malformed input that was answered.
     tokio::select! {
         _ = connection.as_mut() => return,
         () = stop.cancelled() => {}
--- a/src/gateway/front/housekeeping.rs
+++ b/src/gateway/front/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What a VM looks after as time passes, beside its requests.
+//! Periodic maintenance of the gateway, and updates of configuration and server directory.
 
 use crate::gateway::Gateway;
 use crate::gateway::tokens::handover::Reason;
@@ -13,90 +13,99 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 
-/// How long this VM has lost the store before it hands over what it counts, and the pause between two
-/// tries. A VM that still has the store reads its directory about once in that time.
-const LOST: Duration = Duration::from_millis(800);
-/// Time between two sweeps of idle connections.
-const SWEEP: Duration = Duration::from_millis(500);
-/// Time between two looks at servers that rest.
-const TICK: Duration = Duration::from_millis(50);
+/// Store outage after which this VM hands its partitions over, and the pause between two attempts. A VM
+/// that reaches the store reads its directory about once in that time.
+const STORE_LOSS_HANDOVER_DELAY: Duration = Duration::from_millis(800);
+/// Interval of closing expired connections, logging the queues and recording the members.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval of the dispatcher's timeouts, ownership checks and announcements.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Tells the windows of the servers what the directory and the configuration say of them.
-pub(super) async fn follow_world(gateway: Rc<Gateway>) {
-    let mut world = gateway.world.clone();
-    let mut known = None;
+/// Applies each new configuration and directory to the dispatch queue.
+pub(super) async fn follow_routing(gateway: Rc<Gateway>) {
+    let mut routing = gateway.world.clone();
+    let mut applied = None;
     loop {
-        gateway.configure(&mut world, &mut known);
-        if world.changed().await.is_err() {
+        gateway.configure_queue(&mut routing, &mut applied);
+        if routing.changed().await.is_err() {
             return;
         }
     }
 }
 
 impl Gateway {
-    /// Takes in what has changed; all of it under another configuration. `known` is the version of the configuration
-    /// and the number of changes that were taken in before.
-    fn configure(&self, world: &mut watch::Receiver<Routing>, known: &mut Option<(u64, u64)>) {
-        let world = world.borrow_and_update();
-        let table = world.table.as_deref();
-        let version = world.config_version();
-        let same = known.filter(|(before, _)| *before == version);
-        let changes = same.and_then(|(_, noted)| world.changes.since(noted));
+    /// Applies the changes of the directory to the queue, or the whole directory if the configuration is another.
+    /// `applied` is the configuration version and the directory revision that were applied last.
+    fn configure_queue(
+        &self,
+        routing: &mut watch::Receiver<Routing>,
+        applied: &mut Option<(u64, u64)>,
+    ) {
+        let routing = routing.borrow_and_update();
+        let table = routing.table.as_deref();
+        let version = routing.config_version();
+        let same_config = applied.filter(|(previous, _)| *previous == version);
+        let changes = same_config.and_then(|(_, revision)| routing.changes.since(revision));
         if let Some(changes) = changes {
             let changes: Vec<Change> = changes.cloned().collect();
             self.queue.apply_changes(&changes, table);
         } else {
-            self.queue.configure(&world.directory, table);
+            self.queue.configure(&routing.directory, table);
         }
-        *known = Some((version, world.changes.revision()));
+        *applied = Some((version, routing.changes.revision()));
     }
 }
 
-/// Keeps house until the process ends.
-pub(super) async fn keep(gateway: Rc<Gateway>, beats: Arc<watch::Sender<Beat>>) {
-    let mut tick = interval(TICK);
+/// Runs the periodic maintenance until the process ends.
+pub(super) async fn run_maintenance(gateway: Rc<Gateway>, announcements: Arc<watch::Sender<Beat>>) {
+    let mut tick = interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut swept = Instant::now();
-    let handing = Rc::new(Cell::new(false));
-    let mut lost = None;
+    let mut last_sweep = Instant::now();
+    let handing_over = Rc::new(Cell::new(false));
+    let mut lost_since = None;
     loop {
         tick.tick().await;
         gateway.queue.tick();
         gateway.check_for_stall();
         gateway.expire_leases();
-        // Whether a VM has the store is not told to all: when it refuses everybody, each VM would have news for all
-        // others at once, and their views would differ for seconds.
-        let (ready, held) = (gateway.takes_part(), gateway.keeper.ownership_claims());
-        let applied = gateway.applied();
-        beats.send_if_modified(|beat| {
-            let changed = (beat.ready, beat.applied) != (ready, applied) || beat.held != held;
-            (beat.ready, beat.applied, beat.held) = (ready, applied, held);
+        // Store contact is not announced: in a store outage every VM would announce a change at once, and
+        // the membership views would differ for seconds.
+        let (ready, owned) = (gateway.can_own(), gateway.keeper.ownership_claims());
+        let config_version = gateway.config_version();
+        announcements.send_if_modified(|announcement| {
+            let changed = (announcement.ready, announcement.applied) != (ready, config_version)
+                || announcement.held != owned;
+            (announcement.ready, announcement.applied, announcement.held) =
+                (ready, config_version, owned);
             changed
         });
         gateway.broadcast_orphaned_allowances().await;
         gateway.release_superseded_partitions();
-        let away = !gateway.has_store();
-        lost = away.then(|| lost.unwrap_or_else(Instant::now));
-        if let Some(since) = lost.filter(|since| since.elapsed() >= LOST)
-            && !handing.replace(true)
+        let store_lost = !gateway.has_store();
+        lost_since = store_lost.then(|| lost_since.unwrap_or_else(Instant::now));
+        if let Some(since) = lost_since.filter(|since| since.elapsed() >= STORE_LOSS_HANDOVER_DELAY)
+            && !handing_over.replace(true)
         {
-            let (gateway, handing) = (Rc::clone(&gateway), Rc::clone(&handing));
+            let (gateway, handing_over) = (Rc::clone(&gateway), Rc::clone(&handing_over));
             spawn_local(async move {
                 gateway.hand_over_partitions(Reason::StoreLost(since)).await;
-                sleep(LOST).await;
-                handing.set(false);
+                sleep(STORE_LOSS_HANDOVER_DELAY).await;
+                handing_over.set(false);
             });
         }
-        if swept.elapsed() >= SWEEP {
-            swept = Instant::now();
+        if last_sweep.elapsed() >= SWEEP_INTERVAL {
+            last_sweep = Instant::now();
             gateway.queue.log_waiting();
             gateway.note_members();
-            let (directory, aged) = {
-                let world = gateway.world.borrow();
-                (Arc::clone(&world.directory), world.directory_confirmed_at)
+            let (directory, confirmed_at) = {
+                let routing = gateway.world.borrow();
+                (
+                    Arc::clone(&routing.directory),
+                    routing.directory_confirmed_at,
+                )
             };
-            if let Some(aged) = aged {
-                gateway.metrics.directory_age(aged.elapsed());
+            if let Some(confirmed_at) = confirmed_at {
+                gateway.metrics.directory_age(confirmed_at.elapsed());
             }
             gateway
                 .connections
--- a/src/gateway/front/listen.rs
+++ b/src/gateway/front/listen.rs
@@ -1,4 +1,4 @@
-//! Listeners for the platform and for operators, whose questions are answered by themselves.
+//! HTTP listeners for the load balancer, operators and other VMs.
 
 use crate::gateway::request::body::Body;
 use http::{Request, Response};
@@ -12,10 +12,10 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The pause after a failed accept, which is out of descriptors.
+/// Pause after a failed accept, which usually means that the process is out of file descriptors.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Answers every request by `respond`, until the process ends.
+/// Answers every request with `respond` until the process ends.
 pub(crate) async fn serve(
     listener: TcpListener,
     respond: impl AsyncFn(Request<Incoming>) -> Response<Body> + Clone + 'static,
@@ -31,7 +31,7 @@
                 Ok::<_, Infallible>(respond(request).await)
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // Whoever asks does so again when a connection breaks.
+            // After a broken connection the client retries.
             drop(connection.await);
         });
     }
--- a/src/gateway/front/mod.rs
+++ b/src/gateway/front/mod.rs
@@ -1,4 +1,4 @@
-//! Accepts callers, answers the balancer, and stops without cutting anyone.
+//! Startup, readiness, reload and graceful shutdown of the gateway.
 
 mod accept;
 mod housekeeping;
@@ -48,26 +48,26 @@
 use tokio::time::{Instant, sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-/// How long a VM that stops still takes new connections: the balancer asks once a second and
-/// leaves it out after two answers that are not 200.
-const STILL_TAKING: Duration = Duration::from_millis(2600);
-/// Taken off the time that a planned stop may take, so that the process ends by itself.
+/// How long a stopping VM still accepts connections: the load balancer probes once a second and
+/// removes a VM after two failed probes.
+const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(2600);
+/// Subtracted from the time limit of a planned stop, so that the process exits before it is killed.
 const STOP_MARGIN: Duration = Duration::from_millis(300);
-/// How long the store may be silent before this VM says that it has lost it: two reads of its directory, or
-/// one that is made again.
-const UNHEARD: Duration = Duration::from_millis(1400);
-/// Lists of other VMs that may wait.
-const CONTACTS: usize = 2;
+/// The store counts as lost after this time without an answer: two reads of the directory, or one
+/// and its retry.
+const STORE_SILENCE_TIMEOUT: Duration = Duration::from_millis(1400);
+/// Capacity of the queue of VM lists to the membership thread.
+const VM_LIST_QUEUE_CAPACITY: usize = 2;
 
-/// Forwards requests until a signal to stop.
+/// Runs the gateway until SIGTERM.
 ///
 /// # Errors
-/// [`Code::BadSettings`] where an address can't be bound.
+/// [`Code::BadSettings`] if an address can't be bound.
 pub(crate) fn run(path: &Path, settings: settings::Gateway) -> Result<(), Failure> {
-    let (worlds, world) = watch::channel(Routing::empty());
+    let (routing_sender, routing) = watch::channel(Routing::empty());
     let mut supervisor = Supervisor::new(CancellationToken::new());
-    let (views, view) = watch::channel(Arc::new(View::default()));
-    let (introducing, peers_known) = watch::channel(false);
+    let (view_sender, view) = watch::channel(Arc::new(View::default()));
+    let (peers_known_sender, peers_known) = watch::channel(false);
     let sources = Sources {
         vm: settings.vm.clone(),
         store: settings.store.address,
@@ -78,52 +78,59 @@
         bounds: settings.bounds,
         peers_known,
     };
-    let (relay, key) = (
-        bound(sources::relay_address(settings.listen.peers))?,
+    let (relay_socket, key) = (
+        bind_udp(sources::relay_address(settings.listen.peers))?,
         settings.peer_key.clone(),
     );
     supervisor.duty("feed", move || {
-        let socket = relay.try_clone().expect("the system gives a handle");
-        feed::run(sources.clone(), socket, key.clone(), worlds.clone())
+        let socket = relay_socket
+            .try_clone()
+            .expect("a socket can be duplicated");
+        feed::run(sources.clone(), socket, key.clone(), routing_sender.clone())
     });
-    let beats = Arc::new(watch::channel(first_beat(&settings)).0);
-    let (introduced, introduction) = watch::channel(None);
-    let contacts = member(&mut supervisor, &settings, views, introduced, &beats)?;
+    let announcements = Arc::new(watch::channel(initial_announcement(&settings)).0);
+    let (introduction_sender, introduction) = watch::channel(None);
+    let vm_lists = start_membership(
+        &mut supervisor,
+        &settings,
+        view_sender,
+        introduction_sender,
+        &announcements,
+    )?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|error| Failure::refused(Code::Internal, error.to_string()))?;
-    let outside = Outside {
-        world,
+    let channels = Channels {
+        routing,
         view,
-        beats,
-        contacts,
+        announcements,
+        vm_lists,
         introduction,
-        introducing,
+        peers_known_sender,
     };
-    LocalSet::new().block_on(&runtime, serve(path, settings, outside))
+    LocalSet::new().block_on(&runtime, serve(path, settings, channels))
 }
 
-/// What the request thread is told by the others, and tells them.
+/// Channels between the request thread and the other threads.
 #[derive(Debug)]
-struct Outside {
-    world: watch::Receiver<Routing>,
+struct Channels {
+    routing: watch::Receiver<Routing>,
     view: watch::Receiver<Arc<View>>,
-    beats: Arc<watch::Sender<Beat>>,
-    contacts: flume::Sender<List>,
+    announcements: Arc<watch::Sender<Beat>>,
+    vm_lists: flume::Sender<List>,
     introduction: watch::Receiver<Option<Introduction>>,
-    introducing: watch::Sender<bool>,
+    peers_known_sender: watch::Sender<bool>,
 }
 
-/// A socket for datagrams.
-fn bound(address: SocketAddr) -> Result<std::net::UdpSocket, Failure> {
+fn bind_udp(address: SocketAddr) -> Result<std::net::UdpSocket, Failure> {
     let unbound = |error| Failure::refused(Code::BadSettings, format!("{address}: {error}"));
     let socket = std::net::UdpSocket::bind(address).map_err(unbound)?;
     socket.set_nonblocking(true).map_err(unbound)?;
     Ok(socket)
 }
 
-fn first_beat(settings: &settings::Gateway) -> Beat {
+fn initial_announcement(settings: &settings::Gateway) -> Beat {
     Beat {
         vm: settings.vm.clone(),
         zone: settings.zone.clone(),
@@ -136,55 +143,59 @@
     }
 }
 
-/// Starts the thread of the membership; gives where addresses of other VMs go.
-fn member(
+/// Starts the membership thread; returns the channel that takes the addresses of other VMs.
+fn start_membership(
     supervisor: &mut Supervisor,
     settings: &settings::Gateway,
-    views: watch::Sender<Arc<View>>,
+    view: watch::Sender<Arc<View>>,
     introduction: watch::Sender<Option<Introduction>>,
-    beats: &Arc<watch::Sender<Beat>>,
+    announcements: &Arc<watch::Sender<Beat>>,
 ) -> Result<flume::Sender<List>, Failure> {
     let address = settings.listen.peers;
-    let socket = bound(address)?;
-    let (contacts, listed) = flume::bounded(CONTACTS);
-    // Nobody tells of leaving servers here: the directory does. The ring stays open all the same,
-    // since a closed one is ready to be read all the time.
-    let (untold, leaving) = flume::bounded(1);
-    let (key, beats) = (settings.peer_key.clone(), Arc::clone(beats));
+    let socket = bind_udp(address)?;
+    let (vm_list_sender, vm_lists) = flume::bounded(VM_LIST_QUEUE_CAPACITY);
+    // Nothing is sent here: the gateway takes draining servers from the directory. The sender is kept,
+    // since a closed channel is always ready to receive.
+    let (draining_sender, draining) = flume::bounded(1);
+    let (key, announcements) = (settings.peer_key.clone(), Arc::clone(announcements));
     let seeds = settings.seeds.iter();
     let seeds: Vec<_> = seeds
         .map(|seed| SocketAddr::new(seed.ip(), address.port()))
         .collect();
     supervisor.duty("member", move || {
-        let _open = &untold;
+        let _open = &draining_sender;
         member::run(member::Setup {
-            socket: socket.try_clone().expect("the system gives a handle"),
+            socket: socket.try_clone().expect("a socket can be duplicated"),
             key: key.clone(),
             seeds: seeds.clone(),
-            listed: listed.clone(),
-            local: beats.subscribe(),
-            published: views.clone(),
+            listed: vm_lists.clone(),
+            local: announcements.subscribe(),
+            published: view.clone(),
             introduction: introduction.clone(),
-            leaving: leaving.clone(),
+            leaving: draining.clone(),
             stop: CancellationToken::new(),
         })
     });
-    Ok(contacts)
+    Ok(vm_list_sender)
 }
 
-async fn serve(path: &Path, settings: settings::Gateway, outside: Outside) -> Result<(), Failure> {
-    let callers = bind(settings.listen.callers).await?;
-    let ready = bind(settings.listen.ready).await?;
-    let operators = bind(settings.listen.operators).await?;
-    let peers = peers::address(settings.listen.peers);
-    let socket = UdpSocket::bind(peers).await;
-    let socket =
-        socket.map_err(|error| Failure::refused(Code::BadSettings, format!("{peers}: {error}")))?;
+async fn serve(
+    path: &Path,
+    settings: settings::Gateway,
+    channels: Channels,
+) -> Result<(), Failure> {
+    let callers = bind_tcp(settings.listen.callers).await?;
+    let ready = bind_tcp(settings.listen.ready).await?;
+    let operators = bind_tcp(settings.listen.operators).await?;
+    let peer_address = peers::address(settings.listen.peers);
+    let socket = UdpSocket::bind(peer_address).await;
+    let socket = socket
+        .map_err(|error| Failure::refused(Code::BadSettings, format!("{peer_address}: {error}")))?;
     let gateway = Rc::new(Gateway {
-        view: outside.view,
+        view: channels.view,
         peers: Peers::new(socket, &settings.peer_key),
         keeper: Rc::new(Partitions::new(
-            peers,
+            peer_address,
             settings.store.address,
             settings.store.partitions,
         )),
@@ -206,7 +217,7 @@
         path: path.to_owned(),
         stop_ms: Cell::new(settings.stop_ms),
         stopping: Cell::new(false),
-        world: outside.world,
+        world: channels.routing,
         settings,
     });
     event!(
@@ -217,42 +228,48 @@
         version = env!("CARGO_PKG_VERSION")
     );
     let stop = CancellationToken::new();
-    spawn_local(answer_balancer(Rc::clone(&gateway), ready));
-    spawn_local(housekeeping::follow_world(Rc::clone(&gateway)));
-    spawn_local(housekeeping::keep(Rc::clone(&gateway), outside.beats));
+    spawn_local(serve_readiness(Rc::clone(&gateway), ready));
+    spawn_local(housekeeping::follow_routing(Rc::clone(&gateway)));
+    spawn_local(housekeeping::run_maintenance(
+        Rc::clone(&gateway),
+        channels.announcements,
+    ));
     if let Some(address) = gateway.settings.listen.metrics {
-        spawn_local(operators::run(Rc::clone(&gateway), bind(address).await?));
+        spawn_local(operators::run(
+            Rc::clone(&gateway),
+            bind_tcp(address).await?,
+        ));
     }
     spawn_local(operators::run(Rc::clone(&gateway), operators));
     spawn_local(snapshot::publish(Rc::clone(&gateway)));
     spawn_local(peers::receive(Rc::clone(&gateway)));
     spawn_local(partitions::run_maintenance(Rc::clone(&gateway)));
     spawn_local(conversation::run_maintenance(Rc::clone(&gateway)));
-    let contacts = Rc::clone(&gateway.contacts);
+    let discovery = Rc::clone(&gateway.contacts);
     spawn_local(async move {
-        let (introduction, others) = (outside.introduction, outside.contacts);
-        contacts
-            .run(introduction, others, outside.introducing)
+        let (introduction, vm_lists) = (channels.introduction, channels.vm_lists);
+        discovery
+            .run(introduction, vm_lists, channels.peers_known_sender)
             .await;
     });
     let accepting = spawn_local(accept::accept(Rc::clone(&gateway), callers, stop.clone()));
     let (mut terminate, mut hangup) = (
-        signal(SignalKind::terminate()).map_err(internal)?,
-        signal(SignalKind::hangup()).map_err(internal)?,
+        signal(SignalKind::terminate()).map_err(internal_error)?,
+        signal(SignalKind::hangup()).map_err(internal_error)?,
     );
     loop {
-        // A reload that came just before the stop is done and told.
+        // Biased, so that a reload requested just before the stop is still carried out and logged.
         tokio::select! {
             biased;
             _ = hangup.recv() => gateway.reload(),
             _ = terminate.recv() => break,
         }
     }
-    stopped(&gateway, &stop, accepting).await;
+    shut_down(&gateway, &stop, accepting).await;
     Ok(())
 }
 
-async fn stopped(
+async fn shut_down(
     gateway: &Rc<Gateway>,
     stop: &CancellationToken,
     accepting: tokio::task::JoinHandle<()>,
@@ -261,12 +278,16 @@
     let began = Instant::now();
     event!(info, "stopping", limit_ms = limit.as_millis());
     gateway.stopping.set(true);
-    let handing = Rc::clone(gateway);
-    spawn_local(async move { handing.hand_over_partitions(Reason::Stopping).await });
-    sleep(STILL_TAKING.min(limit)).await;
+    let handover_gateway = Rc::clone(gateway);
+    spawn_local(async move {
+        handover_gateway
+            .hand_over_partitions(Reason::Stopping)
+            .await
+    });
+    sleep(SHUTDOWN_ACCEPT_PERIOD.min(limit)).await;
     stop.cancel();
-    let rest = limit.saturating_sub(began.elapsed());
-    let clean = timeout(rest, accepting).await.is_ok();
+    let remaining = limit.saturating_sub(began.elapsed());
+    let clean = timeout(remaining, accepting).await.is_ok();
     event!(
         info,
         "stopped",
@@ -275,24 +296,24 @@
     );
 }
 
-fn internal(error: std::io::Error) -> Failure {
+fn internal_error(error: std::io::Error) -> Failure {
     Failure::refused(Code::Internal, error.to_string())
 }
 
-async fn bind(address: SocketAddr) -> Result<TcpListener, Failure> {
+async fn bind_tcp(address: SocketAddr) -> Result<TcpListener, Failure> {
     TcpListener::bind(address)
         .await
         .map_err(|error| Failure::refused(Code::BadSettings, format!("{address}: {error}")))
 }
 
-async fn answer_balancer(gateway: Rc<Gateway>, listener: TcpListener) {
+async fn serve_readiness(gateway: Rc<Gateway>, listener: TcpListener) {
     listen::serve(listener, move |_| {
-        std::future::ready(readiness(gateway.is_ready()))
+        std::future::ready(readiness_response(gateway.is_ready()))
     })
     .await;
 }
 
-fn readiness(ready: bool) -> Response<Body> {
+fn readiness_response(ready: bool) -> Response<Body> {
     let mut response = Response::new(Body::full(Bytes::new()));
     if !ready {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -301,8 +322,8 @@
 }
 
 impl Gateway {
-    /// Reads the settings again. Addresses and the store stay as they are until the next start; how
-    /// long a stop may take is used at once.
+    /// Reads the settings again. Only the time limit of a stop takes effect at once; other changes need a
+    /// restart.
     fn reload(&self) {
         match settings::Gateway::load(&self.path) {
             Ok(settings) => {
@@ -318,32 +339,32 @@
         }
     }
 
-    /// Whether the store answers this VM.
+    /// Whether the store recently answered this VM and accepts its records.
     pub(crate) fn has_store(&self) -> bool {
-        let heard = self.world.borrow().last_store_read;
-        heard.is_some_and(|heard| heard.elapsed() < UNHEARD) && self.keeper.has_store()
+        let last_read = self.world.borrow().last_store_read;
+        last_read.is_some_and(|at| at.elapsed() < STORE_SILENCE_TIMEOUT) && self.keeper.has_store()
     }
 
-    /// How many milliseconds ago the newest call began that the store answered, unless it refuses the
-    /// records of this VM.
+    /// Milliseconds since the start of the newest read that the store answered; `None` without one, or if
+    /// the store refuses the records of this VM.
     pub(crate) fn store_heard_ms(&self) -> Option<u64> {
-        let heard = self.world.borrow().last_store_read?;
-        let ago_ms = u64::try_from(heard.elapsed().as_millis()).unwrap_or(u64::MAX);
+        let last_read = self.world.borrow().last_store_read?;
+        let ago_ms = u64::try_from(last_read.elapsed().as_millis()).unwrap_or(u64::MAX);
         self.keeper.has_store().then_some(ago_ms)
     }
 
-    /// The version of the configuration that is in force here.
-    pub(super) fn applied(&self) -> Offset {
-        let world = self.world.borrow();
-        Offset(world.config_version())
+    /// Version of the configuration that this VM applies, 0 if none.
+    pub(super) fn config_version(&self) -> Offset {
+        let routing = self.world.borrow();
+        Offset(routing.config_version())
     }
 
-    /// Whether this VM counts and queues for others: unlike routing, that needs no directory.
-    fn takes_part(&self) -> bool {
+    /// Whether this VM may own partitions and queues: unlike routing, that needs no directory.
+    fn can_own(&self) -> bool {
         !self.stopping.get() && self.world.borrow().table.is_some()
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers here.
     fn is_ready(&self) -> bool {
         !self.stopping.get() && self.world.borrow().is_complete()
     }
--- a/src/gateway/front/operators.rs
+++ b/src/gateway/front/operators.rs
@@ -1,4 +1,4 @@
-//! What operators see of a running process: its metrics and its state.
+//! HTTP endpoints for operators (metrics, state) and for other VMs (turns, introductions, copies).
 
 use crate::gateway::front::listen;
 use crate::gateway::request::body::Body;
@@ -12,14 +12,14 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// Answers operators, and VMs that need turns or a copy of the configuration.
+/// Serves operators, and other VMs that need turns, introductions, or copies of configuration or directory.
 pub(crate) async fn run(gateway: Rc<Gateway>, listener: TcpListener) {
     listen::serve(listener, async move |request| {
         if request.uri().path() == conversation::TURNS_PATH {
             return conversation::serve(Rc::clone(&gateway), request).await;
         }
         if request.uri().path() == contact::INTRODUCTIONS_PATH {
-            return answer(
+            return respond(
                 gateway
                     .contacts
                     .encoded_introductions()
@@ -27,45 +27,46 @@
                     .unwrap_or_default(),
             );
         }
-        gateway.operator(request.uri())
+        gateway.handle_operator(request.uri())
     })
     .await;
 }
 
-fn answer(bytes: Bytes) -> Response<Body> {
-    let known = !bytes.is_empty();
+/// Empty bytes are answered with 404.
+fn respond(bytes: Bytes) -> Response<Body> {
+    let found = !bytes.is_empty();
     let mut response = Response::new(Body::full(bytes));
-    if !known {
+    if !found {
         *response.status_mut() = StatusCode::NOT_FOUND;
     }
     response
 }
 
 impl Gateway {
-    fn operator(&self, uri: &Uri) -> Response<Body> {
+    fn handle_operator(&self, uri: &Uri) -> Response<Body> {
         let bytes = match uri.path() {
             "/metrics" => Bytes::from(self.metrics.text()),
             "/state" => Bytes::from(self.state().to_string()),
             copy::DIRECTORY_PATH => {
-                let copy = self.copier.directory(&self.world.borrow(), uri.query());
-                copy.unwrap_or_default()
+                let encoded = self.copier.directory(&self.world.borrow(), uri.query());
+                encoded.unwrap_or_default()
             }
             copy::CONFIG_PATH => {
-                let copy = self.copier.config(&self.world.borrow(), uri.query());
-                copy.unwrap_or_default()
+                let encoded = self.copier.config(&self.world.borrow(), uri.query());
+                encoded.unwrap_or_default()
             }
             _ => Bytes::new(),
         };
-        answer(bytes)
+        respond(bytes)
     }
 
-    /// The state of the process, for a person.
+    /// State of the process as shown to operators.
     fn state(&self) -> Value {
-        let world = self.world.borrow();
+        let routing = self.world.borrow();
         let view = self.view.borrow();
         let (partitions, programs) = self.keeper.owned_counts();
-        let (waiting, places) = self.leases.counts();
-        let servers = world.directory.iter().map(|entry| {
+        let (waiting, leased) = self.leases.counts();
+        let servers = routing.directory.iter().map(|entry| {
             json!({
                 "id": &*entry.id,
                 "service": entry.service,
@@ -77,19 +78,19 @@
         json!({
             "vm": self.settings.vm,
             "stopping": self.stopping.get(),
-            "config": world.table.as_ref().map(|table| table.version),
-            "routes": world.table.as_ref().map(|table| table.len()),
+            "config": routing.table.as_ref().map(|table| table.version),
+            "routes": routing.table.as_ref().map(|table| table.len()),
             "directory": json!({
-                "as_of": world.directory_offset,
-                "age_ms": world.directory_confirmed_at.map(|at| at.elapsed().as_millis()),
-                "from": world.directory_source,
+                "as_of": routing.directory_offset,
+                "age_ms": routing.directory_confirmed_at.map(|at| at.elapsed().as_millis()),
+                "from": routing.directory_source,
             }),
-            "store_heard_ms": world.last_store_read.map(|heard| heard.elapsed().as_millis()),
+            "store_heard_ms": routing.last_store_read.map(|at| at.elapsed().as_millis()),
             "servers": servers.collect::<Vec<_>>(),
             "services": self.queue.state(),
-            "leases": json!({ "waiting": waiting, "places": places }),
+            "leases": json!({ "waiting": waiting, "places": leased }),
             "counted": json!({ "partitions": partitions, "programs": programs }),
-            "teams": world.table.as_ref().and_then(|table| table.teams.as_ref()).map(Teams::len),
+            "teams": routing.table.as_ref().and_then(|table| table.teams.as_ref()).map(Teams::len),
             "limits": self.busiest_teams(),
             "conversations": self.conversations.usage(),
             "idle_connections": self.connections.idle_count(),
--- a/src/gateway/front/sample.rs
+++ b/src/gateway/front/sample.rs
@@ -1,39 +1,41 @@
-//! Which routine lines are logged.
+//! Sampling of routine log lines.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Routine lines a second before they are sampled: 200 bytes each, they stay under 10 KB a second.
-const LINES: u32 = 40;
-/// Beyond that, one request in so many is logged.
-const ONE_IN: u64 = 16;
+/// Routine lines logged before sampling starts: at 200 bytes each, less than 10 KB per second.
+const MAX_UNSAMPLED_LINES_PER_SECOND: u32 = 40;
+/// With sampling, one request in this many is logged.
+const SAMPLING_RATIO: u64 = 16;
 
-/// Bounds the lines of requests that went well; those of failures are not sampled.
+/// Limits the log lines of successful requests; lines of failures are not sampled.
 ///
-/// The choice falls by the request's identity, so that all lines of one request stay together.
+/// Sampling is by request id, so that either all or none of a request's lines are logged.
 #[derive(Debug)]
 pub(crate) struct Sampler {
-    second: Cell<Instant>,
+    second_start: Cell<Instant>,
     lines: Cell<u32>,
 }
 
 impl Sampler {
     pub(crate) fn new() -> Self {
         Self {
-            second: Cell::new(Instant::now()),
+            second_start: Cell::new(Instant::now()),
             lines: Cell::new(0),
         }
     }
 
-    /// Whether a routine line of the request `id` is logged.
+    /// Whether to log a routine line of the request `id`.
     pub(crate) fn takes(&self, id: &str) -> bool {
-        if self.second.get().elapsed() >= Duration::from_secs(1) {
-            self.second.set(Instant::now());
+        if self.second_start.get().elapsed() >= Duration::from_secs(1) {
+            self.second_start.set(Instant::now());
             self.lines.set(0);
         }
-        if self.lines.get() >= LINES && !xxh3_64(id.as_bytes()).is_multiple_of(ONE_IN) {
+        if self.lines.get() >= MAX_UNSAMPLED_LINES_PER_SECOND
+            && !xxh3_64(id.as_bytes()).is_multiple_of(SAMPLING_RATIO)
+        {
             return false;
         }
         self.lines.set(self.lines.get() + 1);
--- a/src/gateway/front/socket.rs
+++ b/src/gateway/front/socket.rs
@@ -1,26 +1,26 @@
-//! Options of TCP connections.
+//! TCP socket options.
 
 use socket2::{SockRef, TcpKeepalive};
 use std::io;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long sent bytes may stay without an acknowledgement. A peer without power, or behind a
-/// partition, never resets: without this bound its connections hang until the request's deadline.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(2);
-/// The first probe of an idle connection, and the time between two.
-const PROBE: Duration = Duration::from_secs(2);
-/// Probes without an answer after which the connection is dead.
-const PROBES: u32 = 2;
+/// Longest time that sent data may stay unacknowledged. Without it, a connection to a peer that lost power
+/// or is partitioned would hang until the request's deadline.
+const USER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Idle time before the first keep-alive probe, and the interval of further ones.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Unanswered probes after which the connection fails.
+const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Sends at once, and lets a connection fail whose peer has gone silent.
+/// Disables Nagle's algorithm, and makes connections to unresponsive peers fail.
 pub(crate) fn tune(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE)
-        .with_interval(PROBE)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&probes)
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -91,6 +91,6 @@
     fn is_behind(&self) -> bool {
         let heard = self.world.borrow().last_store_read;
         let blind = heard.is_none_or(|heard| heard.elapsed() > BLIND);
-        blind || self.view.borrow().newest > self.applied()
+        blind || self.view.borrow().newest > self.config_version()
     }
 }
