--- a/src/entry/router.rs
+++ b/src/entry/router.rs
@@ -3,7 +3,7 @@
 use crate::code::{Code, Failure, Ran};
 use crate::id::Vm;
 use crate::member::View;
-use crate::owner::{Ask, Frame, Position, Request};
+use crate::owner::{Envelope, Frame, Position, Request};
 use crate::peer::Links;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
     pub(crate) me: Vm,
     pub(crate) shards: u64,
     pub(crate) view: watch::Receiver<Arc<View>>,
-    pub(crate) owner: flume::Sender<Ask>,
+    pub(crate) owner: flume::Sender<Envelope>,
     pub(crate) links: Links,
 }
 
@@ -102,10 +102,10 @@
         let (sender, mut receiver) = mpsc::channel(FRAMES);
         let request = resumed(request, tries.passed);
         let until_owner = until.checked_sub(MARGIN).unwrap_or(until);
-        let ask = Ask {
+        let ask = Envelope {
             request,
             frames: sender,
-            until: until_owner,
+            deadline: until_owner,
         };
         if self.owner.try_send(ask).is_err() {
             let full = Failure::refused(Code::RingFull, "the owner's queue is full")
--- a/src/gateway/conversation/load.rs
+++ b/src/gateway/conversation/load.rs
@@ -153,7 +153,7 @@
         }
         let known_holder = conversations.pointers.borrow().get(id);
         if let Some(holder) = known_holder.filter(|holder| Some(*holder) != lost) {
-            if self.is_member(holder) && !self.peers.is_silent(holder) {
+            if self.is_member(holder) && !self.peers.is_unresponsive(holder) {
                 return Reply::HeldAt(holder);
             }
             conversations.pointers.borrow_mut().remove(id);
@@ -173,6 +173,6 @@
     fn is_member(&self, address: SocketAddr) -> bool {
         let view = self.view.borrow();
         let mut members = view.members.values();
-        members.any(|member| crate::gateway::peers::address(member.address) == address)
+        members.any(|member| crate::gateway::peers::peer_address(member.address) == address)
     }
 }
--- a/src/gateway/conversation/record.rs
+++ b/src/gateway/conversation/record.rs
@@ -81,8 +81,8 @@
         let recorded = timeout_at(cutoff, self.record_turn(&turn)).await.ok();
         job.turn_save_time.set(began.elapsed());
         let at = recorded.map_or("nowhere", RecordedVia::label);
-        self.metrics.kept(began.elapsed(), at);
-        if recorded != Some(RecordedVia::Store) || self.sampler.takes(&job.meta.id) {
+        self.metrics.record_turn_save(began.elapsed(), at);
+        if recorded != Some(RecordedVia::Store) || self.sampler.should_log(&job.meta.id) {
             event!(
                 info,
                 "turn_kept",
@@ -189,7 +189,7 @@
                 continue;
             }
             let note = Note::Holds { turn: id.clone() };
-            self.peers.tell(home.address, note).await;
+            self.peers.notify(home.address, note).await;
         }
     }
 }
--- a/src/gateway/front/accept.rs
+++ b/src/gateway/front/accept.rs
@@ -41,11 +41,11 @@
 }
 
 async fn serve_connection(gateway: Rc<Gateway>, stream: TcpStream, stop: CancellationToken) {
-    if let Err(error) = socket::tune(&stream) {
+    if let Err(error) = socket::set_options(&stream) {
         event!(debug, "socket_options_failed", reason = error);
     }
     let limits = gateway
-        .world
+        .routing
         .borrow()
         .table
         .as_ref()
--- a/src/gateway/front/housekeeping.rs
+++ b/src/gateway/front/housekeeping.rs
@@ -23,7 +23,7 @@
 
 /// Applies each new configuration and directory to the dispatch queue.
 pub(super) async fn follow_routing(gateway: Rc<Gateway>) {
-    let mut routing = gateway.world.clone();
+    let mut routing = gateway.routing.clone();
     let mut applied = None;
     loop {
         gateway.configure_queue(&mut routing, &mut applied);
@@ -70,7 +70,7 @@
         gateway.expire_leases();
         // Store contact is not announced: in a store outage every VM would announce a change at once, and
         // the membership views would differ for seconds.
-        let (ready, owned) = (gateway.can_own(), gateway.keeper.ownership_claims());
+        let (ready, owned) = (gateway.can_own(), gateway.partitions.ownership_claims());
         let config_version = gateway.config_version();
         announcements.send_if_modified(|announcement| {
             let changed = (announcement.ready, announcement.applied) != (ready, config_version)
@@ -98,7 +98,7 @@
             gateway.queue.log_waiting();
             gateway.note_members();
             let (directory, confirmed_at) = {
-                let routing = gateway.world.borrow();
+                let routing = gateway.routing.borrow();
                 (
                     Arc::clone(&routing.directory),
                     routing.directory_confirmed_at,
--- a/src/gateway/front/metrics.rs
+++ b/src/gateway/front/metrics.rs
@@ -99,27 +99,27 @@
     }
 
     /// Counts an attempt at a backend server without a response.
-    pub(crate) fn attempt_failed(&self, reason: &'static str) {
+    pub(crate) fn count_failed_attempt(&self, reason: &'static str) {
         self.attempts_failed
             .add(1, &[KeyValue::new("reason", reason)]);
     }
 
     /// Counts a finished request and records its duration.
-    pub(crate) fn answered(&self, kind: &'static str, result: String, total: Duration) {
+    pub(crate) fn record_response(&self, kind: &'static str, result: String, total: Duration) {
         let labels = [KeyValue::new("kind", kind), KeyValue::new("result", result)];
         self.responses.add(1, &labels);
         self.total_ms.record(millis(total), &labels[..1]);
     }
 
-    pub(crate) fn waited(&self, time: Duration) {
+    pub(crate) fn record_slot_wait(&self, time: Duration) {
         self.slot_wait_ms.record(millis(time), &[]);
     }
 
-    pub(crate) fn allowed(&self, time: Duration) {
+    pub(crate) fn record_token_wait(&self, time: Duration) {
         self.token_wait_ms.record(millis(time), &[]);
     }
 
-    pub(crate) fn over_limit(&self, team: &str) {
+    pub(crate) fn count_limit_refusal(&self, team: &str) {
         let mut labelled = self.labelled.borrow_mut();
         if labelled.len() < MAX_TEAM_LABELS {
             labelled.insert(team.to_owned());
@@ -133,17 +133,17 @@
             .add(1, &[KeyValue::new("team", label.to_owned())]);
     }
 
-    pub(crate) fn limited(&self, time: Duration) {
+    pub(crate) fn record_limit_wait(&self, time: Duration) {
         self.limit_wait_ms.record(millis(time), &[]);
     }
 
     /// `place` names where the turn was saved.
-    pub(crate) fn kept(&self, time: Duration, place: &'static str) {
+    pub(crate) fn record_turn_save(&self, time: Duration, place: &'static str) {
         self.turn_save_ms
             .record(millis(time), &[KeyValue::new("place", place)]);
     }
 
-    pub(crate) fn assembled(&self, time: Duration) {
+    pub(crate) fn record_history_wait(&self, time: Duration) {
         self.history_wait_ms.record(millis(time), &[]);
     }
 
--- a/src/gateway/front/mod.rs
+++ b/src/gateway/front/mod.rs
@@ -9,12 +9,12 @@
 pub(crate) mod socket;
 
 use crate::code::{Code, Failure};
-use crate::gateway::census::Census;
 use crate::gateway::conversation::Conversations;
 use crate::gateway::limits::Limits;
 use crate::gateway::peers::Peers;
 use crate::gateway::queue::lease::Leases;
 use crate::gateway::queue::permit::Queue;
+use crate::gateway::reachability::Members;
 use crate::gateway::request::body::Body;
 use crate::gateway::server::connection::Pool;
 use crate::gateway::tokens::handover::Reason;
@@ -187,14 +187,14 @@
     let callers = bind_tcp(settings.listen.callers).await?;
     let ready = bind_tcp(settings.listen.ready).await?;
     let operators = bind_tcp(settings.listen.operators).await?;
-    let peer_address = peers::address(settings.listen.peers);
+    let peer_address = peers::peer_address(settings.listen.peers);
     let socket = UdpSocket::bind(peer_address).await;
     let socket = socket
         .map_err(|error| Failure::refused(Code::BadSettings, format!("{peer_address}: {error}")))?;
     let gateway = Rc::new(Gateway {
         view: channels.view,
         peers: Peers::new(socket, &settings.peer_key),
-        keeper: Rc::new(Partitions::new(
+        partitions: Rc::new(Partitions::new(
             peer_address,
             settings.store.address,
             settings.store.partitions,
@@ -205,19 +205,19 @@
             &settings.peer_key,
         )),
         limit_state: Limits::default(),
-        census: Census::default(),
+        recent_members: Members::default(),
         zone: settings.zone.as_str().into(),
         connections: Pool::default(),
         queue: Queue::default(),
         leases: Leases::default(),
         metrics: Metrics::new(),
         sampler: Sampler::new(),
-        contacts: Rc::new(Discovery::new(&settings)),
+        discovery: Rc::new(Discovery::new(&settings)),
         copier: Copier::default(),
-        path: path.to_owned(),
+        settings_path: path.to_owned(),
         stop_ms: Cell::new(settings.stop_ms),
         stopping: Cell::new(false),
-        world: channels.routing,
+        routing: channels.routing,
         settings,
     });
     event!(
@@ -245,7 +245,7 @@
     spawn_local(peers::receive(Rc::clone(&gateway)));
     spawn_local(partitions::run_maintenance(Rc::clone(&gateway)));
     spawn_local(conversation::run_maintenance(Rc::clone(&gateway)));
-    let discovery = Rc::clone(&gateway.contacts);
+    let discovery = Rc::clone(&gateway.discovery);
     spawn_local(async move {
         let (introduction, vm_lists) = (channels.introduction, channels.vm_lists);
         discovery
@@ -325,7 +325,7 @@
     /// Reads the settings again. Only the time limit of a stop takes effect at once; other changes need a
     /// restart.
     fn reload(&self) {
-        match settings::Gateway::load(&self.path) {
+        match settings::Gateway::load(&self.settings_path) {
             Ok(settings) => {
                 let changed = self.stop_ms.replace(settings.stop_ms) != settings.stop_ms;
                 let restart = settings
@@ -341,31 +341,32 @@
 
     /// Whether the store recently answered this VM and accepts its records.
     pub(crate) fn has_store(&self) -> bool {
-        let last_read = self.world.borrow().last_store_read;
-        last_read.is_some_and(|at| at.elapsed() < STORE_SILENCE_TIMEOUT) && self.keeper.has_store()
+        let last_read = self.routing.borrow().last_store_read;
+        last_read.is_some_and(|at| at.elapsed() < STORE_SILENCE_TIMEOUT)
+            && self.partitions.has_store()
     }
 
     /// Milliseconds since the start of the newest read that the store answered; `None` without one, or if
     /// the store refuses the records of this VM.
-    pub(crate) fn store_heard_ms(&self) -> Option<u64> {
-        let last_read = self.world.borrow().last_store_read?;
+    pub(crate) fn store_contact_age_ms(&self) -> Option<u64> {
+        let last_read = self.routing.borrow().last_store_read?;
         let ago_ms = u64::try_from(last_read.elapsed().as_millis()).unwrap_or(u64::MAX);
-        self.keeper.has_store().then_some(ago_ms)
+        self.partitions.has_store().then_some(ago_ms)
     }
 
     /// Version of the configuration that this VM applies, 0 if none.
     pub(super) fn config_version(&self) -> Offset {
-        let routing = self.world.borrow();
+        let routing = self.routing.borrow();
         Offset(routing.config_version())
     }
 
     /// Whether this VM may own partitions and queues: unlike routing, that needs no directory.
     fn can_own(&self) -> bool {
-        !self.stopping.get() && self.world.borrow().table.is_some()
+        !self.stopping.get() && self.routing.borrow().table.is_some()
     }
 
     /// Whether the load balancer should send callers here.
     fn is_ready(&self) -> bool {
-        !self.stopping.get() && self.world.borrow().is_complete()
+        !self.stopping.get() && self.routing.borrow().is_complete()
     }
 }
--- a/src/gateway/front/operators.rs
+++ b/src/gateway/front/operators.rs
@@ -21,7 +21,7 @@
         if request.uri().path() == contact::INTRODUCTIONS_PATH {
             return respond(
                 gateway
-                    .contacts
+                    .discovery
                     .encoded_introductions()
                     .await
                     .unwrap_or_default(),
@@ -48,11 +48,11 @@
             "/metrics" => Bytes::from(self.metrics.text()),
             "/state" => Bytes::from(self.state().to_string()),
             copy::DIRECTORY_PATH => {
-                let encoded = self.copier.directory(&self.world.borrow(), uri.query());
+                let encoded = self.copier.directory(&self.routing.borrow(), uri.query());
                 encoded.unwrap_or_default()
             }
             copy::CONFIG_PATH => {
-                let encoded = self.copier.config(&self.world.borrow(), uri.query());
+                let encoded = self.copier.config(&self.routing.borrow(), uri.query());
                 encoded.unwrap_or_default()
             }
             _ => Bytes::new(),
@@ -62,9 +62,9 @@
 
     /// State of the process as shown to operators.
     fn state(&self) -> Value {
-        let routing = self.world.borrow();
+        let routing = self.routing.borrow();
         let view = self.view.borrow();
-        let (partitions, programs) = self.keeper.owned_counts();
+        let (partitions, programs) = self.partitions.owned_counts();
         let (waiting, leased) = self.leases.counts();
         let servers = routing.directory.iter().map(|entry| {
             json!({
--- a/src/gateway/front/sample.rs
+++ b/src/gateway/front/sample.rs
@@ -28,7 +28,7 @@
     }
 
     /// Whether to log a routine line of the request `id`.
-    pub(crate) fn takes(&self, id: &str) -> bool {
+    pub(crate) fn should_log(&self, id: &str) -> bool {
         if self.second_start.get().elapsed() >= Duration::from_secs(1) {
             self.second_start.set(Instant::now());
             self.lines.set(0);
--- a/src/gateway/front/socket.rs
+++ b/src/gateway/front/socket.rs
@@ -14,7 +14,7 @@
 const KEEPALIVE_RETRIES: u32 = 2;
 
 /// Disables Nagle's algorithm, and makes connections to unresponsive peers fail.
-pub(crate) fn tune(stream: &TcpStream) -> io::Result<()> {
+pub(crate) fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
--- a/src/gateway/limits/acquire.rs
+++ b/src/gateway/limits/acquire.rs
@@ -27,7 +27,7 @@
         let Some(limit) = team.limit else {
             return Ok(Duration::ZERO);
         };
-        let part = self.keeper.partition_of(&format!("team/{}", team.name));
+        let part = self.partitions.partition_of(&format!("team/{}", team.name));
         let acquisition = Acquisition {
             team: team.name.to_string(),
             limit,
@@ -44,7 +44,7 @@
         match self.ask_owner(part, question).await {
             Some((Reply::Admitted { wait_ms }, _)) => Ok(Duration::from_millis(wait_ms)),
             Some((Reply::OverLimit { retry_ms }, _)) => {
-                self.metrics.over_limit(&team.name);
+                self.metrics.count_limit_refusal(&team.name);
                 let failure =
                     Failure::refused(Code::LimitReached, "the team has used up its request limit");
                 Err(failure.retry_after(Duration::from_millis(retry_ms)))
--- a/src/gateway/limits/count.rs
+++ b/src/gateway/limits/count.rs
@@ -56,7 +56,7 @@
         acquisition: Acquisition,
         takeover: bool,
     ) -> Reply {
-        let part = self.keeper.partition(partition);
+        let part = self.partitions.partition(partition);
         part.wait_for_handover().await;
         if part.ownership.get().is_none() {
             let refusal = self.take_ownership(partition, &part, takeover).await;
@@ -82,10 +82,10 @@
     async fn may_count_without_owner(&self, partition: u64) -> bool {
         let owner = self.claimed_owner(partition);
         let owner = owner.filter(|other| other.vm != self.settings.vm);
-        if owner.is_some_and(|other| !self.peers.is_silent(other.address)) {
+        if owner.is_some_and(|other| !self.peers.is_unresponsive(other.address)) {
             return false;
         }
-        if !self.reaches_most().await {
+        if !self.reaches_majority().await {
             return true;
         }
         !self.has_store()
@@ -128,7 +128,7 @@
                 wait_ms: millis(delay),
             },
             Verdict::Refused(retry_after) => {
-                if self.sampler.takes(&acquisition.team) {
+                if self.sampler.should_log(&acquisition.team) {
                     event!(
                         info,
                         "limit_reached",
@@ -154,12 +154,12 @@
     /// When quotas of a partition that this VM owns since `now` start with an empty bucket.
     fn quota_start(&self, part: &Partition, now: Instant) -> Instant {
         let window = self.limit_tolerance().window;
-        origin(part, now).grants_from(now, self.keeper.started_at, window)
+        origin(part, now).grants_from(now, self.partitions.started_at, window)
     }
 
     /// The team's limit in the newer configuration: this VM's or the asking VM's.
     fn limit_of(&self, acquisition: &Acquisition) -> Limit {
-        let world = self.world.borrow();
+        let world = self.routing.borrow();
         let table = world.table.as_ref();
         let table = table.filter(|table| table.version >= acquisition.version);
         let team = table.and_then(|table| table.teams.as_ref()?.by_name(&acquisition.team));
@@ -183,7 +183,7 @@
         let reach = if confirmed_ago < MAX_CONFIRMATION_AGE {
             None
         } else {
-            Some(self.reach().await)
+            Some(self.reachability().await)
         };
         let now = Instant::now();
         let overlap_age = origin(part, now).overlap_age(now);
@@ -211,7 +211,7 @@
     /// The teams with the most granted requests in the partitions of this VM, for the operators' state page.
     pub(crate) fn busiest_teams(&self) -> Vec<Value> {
         let mut teams_by_use = Vec::new();
-        for (partition, part) in self.keeper.owned() {
+        for (partition, part) in self.partitions.owned() {
             let teams = part.teams.borrow();
             let rows = teams.by_team.iter().map(|(name, quota)| {
                 let row = json!({
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -9,19 +9,19 @@
 //! | `request` | the life of one request, from its head to its last byte | `front` |
 //! | `tokens` | counts what programs may generate | `request`, other VMs |
 //! | `limits` | counts the requests of teams | `request`, other VMs |
-//! | `census` | which VMs there were lately | `limits`, `tokens` |
+//! | `reachability` | which VMs there were lately | `limits`, `tokens` |
 //! | `conversation` | keeps turns, and finds what was said before | `request`, other VMs |
 //! | `queue` | lets a request wait for a place at a server | `request`, other VMs |
 //! | `server` | connections to backend servers, and one attempt at one of them | `request` |
 //! | `world` | follows the configuration and the directory of servers | all |
 //! | `peers` | messages between VMs that requests wait for | `tokens`, `conversation`, `queue` |
 
-mod census;
 mod conversation;
 mod front;
 mod limits;
 mod peers;
 mod queue;
+mod reachability;
 mod request;
 mod server;
 mod tokens;
@@ -32,7 +32,6 @@
 
 use crate::member::View;
 use crate::settings;
-use census::Census;
 use conversation::Conversations;
 use front::metrics::Metrics;
 use front::sample::Sampler;
@@ -40,6 +39,7 @@
 use peers::Peers;
 use queue::lease::Leases;
 use queue::permit::Queue;
+use reachability::Members;
 use server::connection::Pool;
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -61,22 +61,22 @@
 pub(crate) struct Gateway {
     settings: settings::Gateway,
     /// Where the settings are read again from.
-    path: PathBuf,
+    settings_path: PathBuf,
     stop_ms: Cell<u64>,
     zone: Arc<str>,
-    world: watch::Receiver<Routing>,
+    routing: watch::Receiver<Routing>,
     view: watch::Receiver<Arc<View>>,
     peers: Peers,
-    keeper: Rc<Partitions>,
+    partitions: Rc<Partitions>,
     limit_state: Limits,
-    census: Census,
+    recent_members: Members,
     conversations: Rc<Conversations>,
     connections: Pool,
     queue: Queue,
     leases: Leases,
     metrics: Metrics,
     sampler: Sampler,
-    contacts: Rc<Discovery>,
+    discovery: Rc<Discovery>,
     copier: Copier,
     stopping: Cell<bool>,
 }
@@ -88,8 +88,8 @@
 
     /// Whether the configuration may be out of date: the store has not been heard for a while, or another VM has
     /// applied a newer one.
-    fn is_behind(&self) -> bool {
-        let heard = self.world.borrow().last_store_read;
+    fn config_may_be_stale(&self) -> bool {
+        let heard = self.routing.borrow().last_store_read;
         let blind = heard.is_none_or(|heard| heard.elapsed() > BLIND);
         blind || self.view.borrow().newest > self.config_version()
     }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -60,7 +60,7 @@
     },
     /// Keep an allowance that the store has not taken yet.
     #[serde(rename = "c")]
-    Keep(Copy),
+    Keep(Replica),
     /// Which allowances of a partition are kept that the store may lack?
     #[serde(rename = "l")]
     Copies { part: u64 },
@@ -100,7 +100,7 @@
 
 /// The allowance of a program, for a VM that may take over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Copy {
+pub(crate) struct Replica {
     pub(crate) part: u64,
     pub(crate) program: String,
     pub(crate) allowed: u64,
@@ -184,7 +184,7 @@
     },
     /// A durable allowance.
     #[serde(rename = "c")]
-    Copied(Copy),
+    Copied(Replica),
     /// The VM that tells this has a turn in memory.
     #[serde(rename = "h")]
     Holds { turn: Id },
@@ -205,7 +205,7 @@
 }
 
 /// Who asked, and under which number.
-pub(crate) type Asked = (SocketAddr, u64);
+pub(crate) type ReplyAddress = (SocketAddr, u64);
 
 /// The datagrams of this VM.
 #[derive(Debug)]
@@ -233,14 +233,14 @@
     }
 
     /// A number that no question or reservation of this VM had before.
-    pub(crate) fn number(&self) -> u64 {
+    pub(crate) fn next_number(&self) -> u64 {
         let number = self.numbers.get();
         self.numbers.set(number + 1);
         number
     }
 
     /// Whether a VM has not answered lately.
-    pub(crate) fn is_silent(&self, peer: SocketAddr) -> bool {
+    pub(crate) fn is_unresponsive(&self, peer: SocketAddr) -> bool {
         let silent = self.silent.borrow();
         silent
             .get(&peer)
@@ -249,11 +249,11 @@
 
     /// Asks until there is an answer; none comes from a VM that stands still or is gone.
     pub(crate) async fn ask(&self, peer: SocketAddr, question: &Question) -> Option<Reply> {
-        self.ask_as(self.number(), peer, question).await
+        self.ask_numbered(self.next_number(), peer, question).await
     }
 
     /// Asks under a number that was drawn before.
-    pub(crate) async fn ask_as(
+    pub(crate) async fn ask_numbered(
         &self,
         number: u64,
         peer: SocketAddr,
@@ -285,7 +285,7 @@
     }
 
     /// Tells without waiting for an answer.
-    pub(crate) async fn tell(&self, peer: SocketAddr, note: Note) {
+    pub(crate) async fn notify(&self, peer: SocketAddr, note: Note) {
         self.send(peer, &Packet::Note(note)).await;
     }
 
@@ -297,7 +297,7 @@
     }
 
     /// Tells whoever asked that an answer will follow.
-    pub(crate) async fn tell_working(&self, (peer, number): Asked) {
+    pub(crate) async fn send_working(&self, (peer, number): ReplyAddress) {
         self.send(peer, &Packet::Reply(number, Reply::Working))
             .await;
     }
@@ -323,7 +323,7 @@
 }
 
 /// The port of the datagrams of this module: the one after that of membership.
-pub(crate) fn address(member: SocketAddr) -> SocketAddr {
+pub(crate) fn peer_address(member: SocketAddr) -> SocketAddr {
     SocketAddr::new(member.ip(), member.port() + 1)
 }
 
@@ -348,7 +348,7 @@
 async fn work(gateway: Rc<Gateway>, from: SocketAddr, number: u64, question: Question) {
     let peers = &gateway.peers;
     if !peers.working.borrow_mut().insert((from, number)) {
-        return peers.tell_working((from, number)).await;
+        return peers.send_working((from, number)).await;
     }
     let reply = gateway.handle_question((from, number), question).await;
     peers.working.borrow_mut().remove(&(from, number));
--- a/src/gateway/queue/lease.rs
+++ b/src/gateway/queue/lease.rs
@@ -4,7 +4,7 @@
 //! can't be prioritized.
 
 use crate::code::{Code, Failure};
-use crate::gateway::peers::{Asked, Peer, Question, Reply};
+use crate::gateway::peers::{Peer, Question, Reply, ReplyAddress};
 use crate::gateway::queue::permit::{Permit, SlotGuard, SlotOwner, no_server, overloaded};
 use crate::gateway::{Gateway, peers};
 use crate::id::{self, rendezvous};
@@ -43,13 +43,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct Leases {
     /// Waiting requests, each with a channel that cancels the wait.
-    waiting: RefCell<HashMap<Asked, oneshot::Sender<()>>>,
-    granted: RefCell<HashMap<Asked, Lease>>,
+    waiting: RefCell<HashMap<ReplyAddress, oneshot::Sender<()>>>,
+    granted: RefCell<HashMap<ReplyAddress, Lease>>,
 }
 
 impl Leases {
     /// Cancels the wait of a request of another VM, or releases its slot.
-    pub(crate) fn release(&self, asked: &Asked, outcome: Outcome) {
+    pub(crate) fn release(&self, asked: &ReplyAddress, outcome: Outcome) {
         let cancel = self.waiting.borrow_mut().remove(asked);
         if let Some(cancel) = cancel {
             // Fails if the slot was granted meanwhile; then the lease is released below.
@@ -61,7 +61,7 @@
         }
     }
 
-    fn leased_server(&self, asked: &Asked) -> Option<Arc<str>> {
+    fn leased_server(&self, asked: &ReplyAddress) -> Option<Arc<str>> {
         let granted = self.granted.borrow();
         let lease = granted.get(asked)?;
         Some(Arc::clone(&lease.permit.server.id))
@@ -91,11 +91,11 @@
             .take_while(|(_, member)| member.vm != self.settings.vm);
         let peers = preferred.map(|(_, member)| Peer {
             vm: member.vm.clone(),
-            address: peers::address(member.address),
+            address: peers::peer_address(member.address),
             ready: member.ready,
         });
         peers
-            .filter(|peer| !self.peers.is_silent(peer.address))
+            .filter(|peer| !self.peers.is_unresponsive(peer.address))
             .take(MAX_OWNERS_ASKED)
             .collect()
     }
@@ -129,10 +129,13 @@
         peer: SocketAddr,
         request: &Request,
     ) -> Option<Result<Permit, AcquireError>> {
-        let question_number = self.peers.number();
+        let question_number = self.peers.next_number();
         let slot = SlotGuard::new(Rc::clone(self), SlotOwner::Remote(peer, question_number));
         let question = Question::Place(request.clone());
-        let reply = self.peers.ask_as(question_number, peer, &question).await?;
+        let reply = self
+            .peers
+            .ask_numbered(question_number, peer, &question)
+            .await?;
         let server = match reply {
             Reply::Placed(server) => server,
             Reply::NoServer => return Some(Err(AcquireError::Failure(no_server()))),
@@ -143,7 +146,7 @@
             _ => return None,
         };
         // The directory here may differ from that of the queue owner.
-        let entry = self.world.borrow().server(&server);
+        let entry = self.routing.borrow().server(&server);
         Some(match entry.filter(|entry| !entry.draining) {
             Some(entry) => Ok(Permit::new(slot, entry)),
             None => Err(AcquireError::UnusableServer(server)),
@@ -151,12 +154,16 @@
     }
 
     /// Leases a slot to another VM, as soon as one is free.
-    pub(crate) async fn lease_slot(self: &Rc<Self>, asked: Asked, request: Request) -> Reply {
+    pub(crate) async fn lease_slot(
+        self: &Rc<Self>,
+        asked: ReplyAddress,
+        request: Request,
+    ) -> Reply {
         if let Some(server) = self.leases.leased_server(&asked) {
             // A repeated question, since the reply was lost.
             return Reply::Placed(server);
         }
-        if !self.world.borrow().is_complete() {
+        if !self.routing.borrow().is_complete() {
             // Just started with an incomplete directory; the caller asks the next VM.
             return Reply::NotOwner;
         }
@@ -173,7 +180,7 @@
         let permit = if let Some(permit) = immediate {
             permit
         } else {
-            self.peers.tell_working(asked).await;
+            self.peers.send_working(asked).await;
             tokio::select! {
                 permit = &mut permit => permit,
                 _ = cancelled => return Reply::NotOwner,
@@ -207,14 +214,14 @@
         let members: HashSet<SocketAddr> = view
             .members
             .values()
-            .map(|member| peers::address(member.address))
+            .map(|member| peers::peer_address(member.address))
             .collect();
         let now = Instant::now();
         let granted = self.leases.granted.borrow();
         let expired = granted
             .iter()
             .filter(|((vm, _), lease)| lease.expires <= now || !members.contains(vm));
-        let expired: Vec<Asked> = expired.map(|(asked, _)| *asked).collect();
+        let expired: Vec<ReplyAddress> = expired.map(|(asked, _)| *asked).collect();
         drop(granted);
         if !expired.is_empty() {
             event!(info, "places_taken_back", places = expired.len());
--- a/src/gateway/queue/permit.rs
+++ b/src/gateway/queue/permit.rs
@@ -179,7 +179,7 @@
             SlotOwner::Remote(peer, number) => {
                 let gateway = Rc::clone(&self.gateway);
                 let note = Note::Left { number, outcome };
-                tokio::task::spawn_local(async move { gateway.peers.tell(peer, note).await });
+                tokio::task::spawn_local(async move { gateway.peers.notify(peer, note).await });
             }
         }
     }
@@ -234,7 +234,7 @@
                     server.ok_or_else(|| overloaded(LATE_REQUEST_RETRY_AFTER))?
                 }
             };
-            let entry = self.world.borrow().server(&server);
+            let entry = self.routing.borrow().server(&server);
             if let Some(server) = entry {
                 return Ok(Permit { slot, server });
             }
--- a/src/gateway/census.rs
+++ b/src/gateway/reachability.rs
@@ -26,7 +26,7 @@
 
 /// When each VM was last a member, and where it is asked.
 #[derive(Debug, Default)]
-pub(crate) struct Census {
+pub(crate) struct Members {
     seen: RefCell<HashMap<Vm, (SocketAddr, Instant)>>,
     newest: Mutex<Option<Answers>>,
 }
@@ -40,11 +40,11 @@
     store_heard: Option<Instant>,
 }
 
-impl Census {
+impl Members {
     fn note(&self, now: Instant, view: &View) {
         let mut seen = self.seen.borrow_mut();
         for member in view.members.values().filter(|member| !member.suspect) {
-            let entry = (peers::address(member.address), now);
+            let entry = (peers::peer_address(member.address), now);
             match seen.get_mut(&member.vm) {
                 Some(known) => *known = entry,
                 None => drop(seen.insert(member.vm.clone(), entry)),
@@ -69,7 +69,8 @@
 impl Gateway {
     /// Notes who is a member, for a time in which most are not heard.
     pub(crate) fn note_members(&self) {
-        self.census.note(Instant::now(), &self.view.borrow());
+        self.recent_members
+            .note(Instant::now(), &self.view.borrow());
     }
 
     /// Whether this VM reaches most of the VMs that there were lately.
@@ -78,12 +79,12 @@
     /// had the store, took that for an outage and gave 960 tokens without a record, while the others took
     /// their partitions at the store and gave 864 of the same budget of 576. The members that are heard tell only
     /// seconds later.
-    pub(crate) async fn reaches_most(&self) -> bool {
-        self.reach().await.is_majority()
+    pub(crate) async fn reaches_majority(&self) -> bool {
+        self.reachability().await.is_majority()
     }
 
     /// How many of the VMs that there were lately answer this one.
-    pub(crate) async fn reach(&self) -> Reachability {
+    pub(crate) async fn reachability(&self) -> Reachability {
         self.answers().await.reach
     }
 
@@ -91,7 +92,7 @@
     ///
     /// After a cut a VM may reach most others before it learns that the store has shut it out: another VM counts
     /// the partition by then, and a program would get the same tokens from both.
-    pub(crate) async fn others_have_store(&self, part: &Partition) -> bool {
+    pub(crate) async fn peers_have_store(&self, part: &Partition) -> bool {
         let Some(failing) = part.failing_since.get() else {
             return false;
         };
@@ -101,11 +102,11 @@
 
     async fn answers(&self) -> Answers {
         // Who asks at the same time waits for one sample.
-        let mut newest = self.census.newest.lock().await;
+        let mut newest = self.recent_members.newest.lock().await;
         if let Some(answers) = newest.filter(|answers| answers.at.elapsed() < FRESH) {
             return answers;
         }
-        let sample = self.census.sample(self.peer_address());
+        let sample = self.recent_members.sample(self.peer_address());
         let asks = sample.iter().map(|peer| async move {
             let reply = timeout(ANSWER, self.peers.ask(*peer, &Question::Heard)).await;
             reply.ok().flatten()
@@ -114,7 +115,7 @@
         let reach = Reachability {
             answered: replies.len(),
             asked: sample.len(),
-            known: self.census.known(),
+            known: self.recent_members.known(),
         };
         let heard = replies.iter().filter_map(|reply| match reply {
             Reply::Heard { ago_ms } => ago_ms.map(Duration::from_millis),
--- a/src/gateway/request/admit.rs
+++ b/src/gateway/request/admit.rs
@@ -42,7 +42,7 @@
         ));
     }
     let mut meta = Meta::of(&parts.headers);
-    let table = gateway.world.borrow().table.clone();
+    let table = gateway.routing.borrow().table.clone();
     let Some(table) = table else {
         let failure = Failure::refused(Code::NotReady, "no configuration has been loaded yet");
         return Err(failure.retry_after(NOT_READY_RETRY_AFTER));
@@ -165,7 +165,7 @@
 
 /// A retryable failure if the configuration may be out of date, instead of a permanent refusal.
 pub(super) fn stale_config_failure(gateway: &Gateway) -> Option<Failure> {
-    gateway.is_behind().then(|| {
+    gateway.config_may_be_stale().then(|| {
         let failure = Failure::refused(Code::NotReady, "the configuration may be out of date");
         failure.retry_after(NOT_READY_RETRY_AFTER)
     })
--- a/src/gateway/request/job.rs
+++ b/src/gateway/request/job.rs
@@ -89,9 +89,9 @@
         let total = self.arrived.elapsed();
         gateway
             .metrics
-            .answered(self.route.kind.name(), result.to_owned(), total);
-        gateway.metrics.waited(self.queue_time.get());
-        if succeeded && !gateway.sampler.takes(&self.meta.id) {
+            .record_response(self.route.kind.name(), result.to_owned(), total);
+        gateway.metrics.record_slot_wait(self.queue_time.get());
+        if succeeded && !gateway.sampler.should_log(&self.meta.id) {
             return;
         }
         let grant = self.allowance.borrow();
--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -160,7 +160,7 @@
     let started = Instant::now();
     let turns = job.gateway.load_history(prev_turn).await;
     job.history_time.set(started.elapsed());
-    job.gateway.metrics.assembled(started.elapsed());
+    job.gateway.metrics.record_history_wait(started.elapsed());
     job.body.replace(prompt(&turns?, &job.input));
     Ok(())
 }
@@ -184,7 +184,7 @@
         .await;
     job.limit_time
         .set(started.elapsed() + delay.as_ref().copied().unwrap_or_default());
-    job.gateway.metrics.limited(started.elapsed());
+    job.gateway.metrics.record_limit_wait(started.elapsed());
     delay
 }
 
@@ -204,7 +204,7 @@
         .reserve_tokens(program, budget, max_tokens)
         .await;
     job.reservation_time.set(started.elapsed());
-    job.gateway.metrics.allowed(started.elapsed());
+    job.gateway.metrics.record_token_wait(started.elapsed());
     let grant = grant?;
     job.allowance.replace(Some(grant));
     Ok(())
@@ -239,7 +239,7 @@
         AttemptResult::NotRun(reason) | AttemptResult::OutcomeUnknown(reason) => reason,
         AttemptResult::Unreachable => "unreachable",
     };
-    job.gateway.metrics.attempt_failed(reason);
+    job.gateway.metrics.count_failed_attempt(reason);
     event!(
         info,
         "attempt_failed",
--- a/src/gateway/server/connection.rs
+++ b/src/gateway/server/connection.rs
@@ -55,7 +55,7 @@
     pub(crate) async fn open(entry: &Entry) -> Result<Self, std::io::Error> {
         let connect = timeout(CONNECT_TIMEOUT, TcpStream::connect(entry.address));
         let stream = connect.await.map_err(std::io::Error::from)??;
-        socket::tune(&stream)?;
+        socket::set_options(&stream)?;
         let io = TokioIo::new(stream);
         let (sender, connection) = http1::handshake(io).await.map_err(std::io::Error::other)?;
         let driver = tokio::task::spawn_local(async move {
--- a/src/gateway/tokens/failover.rs
+++ b/src/gateway/tokens/failover.rs
@@ -61,7 +61,7 @@
         if !takeover && expected_owner.is_some_and(|other| other.vm != self.settings.vm) {
             return Some(Reply::NotOwner);
         }
-        if self.keeper.should_skip_store() {
+        if self.partitions.should_skip_store() {
             // The rest would wait for the store.
             return self.take_over_without_store(partition_id, partition).await;
         }
@@ -69,7 +69,7 @@
             TakeoverResult::Done => None,
             TakeoverResult::OwnedBy(other) => Some(Reply::Taken(other)),
             TakeoverResult::Failed => {
-                self.keeper.record_store_result(false);
+                self.partitions.record_store_result(false);
                 self.take_over_without_store(partition_id, partition).await
             }
         }
@@ -87,7 +87,8 @@
             STORE_TIMEOUT
         };
         for _ in 0..MAX_ATTEMPTS {
-            let Ok(Ok(owner)) = timeout(store_timeout, self.keeper.read_owner(partition_id)).await
+            let Ok(Ok(owner)) =
+                timeout(store_timeout, self.partitions.read_owner(partition_id)).await
             else {
                 // Without the owner record a takeover is not safe.
                 return TakeoverResult::Failed;
@@ -134,10 +135,10 @@
         let oldest_uptime_ms = self.collect_replicas(partition_id).await;
         partition.oldest_uptime_ms.set(oldest_uptime_ms);
         let result = self
-            .keeper
+            .partitions
             .take_over(partition_id, &partition, Some(end), origin)
             .await;
-        Rc::clone(&self.keeper).start_writer(partition_id, partition);
+        Rc::clone(&self.partitions).start_writer(partition_id, partition);
         result
     }
 
@@ -146,7 +147,7 @@
         if owner == self.peer_address() {
             return Some(false);
         }
-        if self.peers.is_silent(owner) {
+        if self.peers.is_unresponsive(owner) {
             return None;
         }
         let question = Question::Counts { part: partition_id };
@@ -167,7 +168,7 @@
         if partition.ownership.get().is_some() {
             return None;
         }
-        if !self.reaches_most().await
+        if !self.reaches_majority().await
             || !self
                 .peers_reaching_store(partition_id, STORE_CONTACT_MAX_AGE)
                 .await
@@ -178,7 +179,9 @@
         self.collect_replicas(partition_id).await;
         let taken = partition.ownership.get().is_some()
             || self.is_first_candidate(partition_id)
-                && self.keeper.take_over_from_replicas(partition_id, partition);
+                && self
+                    .partitions
+                    .take_over_from_replicas(partition_id, partition);
         (!taken).then_some(Reply::Away)
     }
 
--- a/src/gateway/tokens/fallback.rs
+++ b/src/gateway/tokens/fallback.rs
@@ -1,6 +1,6 @@
 //! Records allowances in fallback partitions while their own partition of the store rejects writes.
 
-use crate::gateway::peers::Copy;
+use crate::gateway::peers::Replica;
 use crate::gateway::tokens::partition::Partition;
 use crate::gateway::tokens::partitions::{Partitions, STORE_TIMEOUT, encode_record};
 use crate::platform::records::FALLBACK_ALLOWANCE_TOPIC;
@@ -18,7 +18,7 @@
         &self,
         partition_id: u64,
         partition: &Partition,
-        replica: &Copy,
+        replica: &Replica,
     ) -> bool {
         if self.should_skip_store() {
             return false;
--- a/src/gateway/tokens/handover.rs
+++ b/src/gateway/tokens/handover.rs
@@ -44,7 +44,7 @@
     /// the partitions stay: the others can't write records either.
     pub(crate) async fn hand_over_partitions(&self, reason: Reason) {
         let mut store_checked = reason == Reason::Stopping;
-        for (partition_id, partition) in self.keeper.owned() {
+        for (partition_id, partition) in self.partitions.owned() {
             let Some(successor) = self.choose_successor(partition_id, reason).await else {
                 return log_kept(partition_id, "no VM reaches the store");
             };
@@ -63,12 +63,12 @@
     /// After an outage VMs notice within a second of each other that the store is back. Without
     /// this check, those that notice late would hand their partitions to those that noticed early.
     async fn is_store_back(&self, partition_id: u64) -> bool {
-        let read = timeout(STORE_TIMEOUT, self.keeper.read_owner(partition_id)).await;
+        let read = timeout(STORE_TIMEOUT, self.partitions.read_owner(partition_id)).await;
         if !matches!(read, Ok(Ok(_))) {
             return false;
         }
         sleep(WRITE_RETRY_WAIT).await;
-        self.keeper.has_store()
+        self.partitions.has_store()
     }
 
     /// Picks the VM to hand a partition to.
@@ -171,7 +171,7 @@
         (first, last): (bool, bool),
         ending: bool,
     ) -> Reply {
-        let partition = self.keeper.partition(partition_id);
+        let partition = self.partitions.partition(partition_id);
         if first {
             // Discard what an interrupted handover left behind.
             partition.incoming_entries.take();
@@ -181,23 +181,23 @@
             return Reply::Kept;
         }
         let entries = partition.incoming_entries.take();
-        let takeover = self
-            .keeper
-            .take_over(partition_id, &partition, None, Origin::HandedOver);
+        let takeover =
+            self.partitions
+                .take_over(partition_id, &partition, None, Origin::HandedOver);
         let taken_over = timeout(TAKEOVER_TIMEOUT, takeover).await;
         let taken_over = matches!(taken_over, Ok(Ok(())));
         if !taken_over && !ending {
             return Reply::Away;
         }
-        self.keeper
+        self.partitions
             .import_partition(partition_id, epoch, entries, taken_over);
-        Rc::clone(&self.keeper).start_writer(partition_id, partition);
+        Rc::clone(&self.partitions).start_writer(partition_id, partition);
         Reply::Kept
     }
 
     /// Gives up partitions that another VM has announced under a higher epoch.
     pub(crate) fn release_superseded_partitions(&self) {
-        for (partition_id, partition) in self.keeper.owned() {
+        for (partition_id, partition) in self.partitions.owned() {
             let view = self.view.borrow();
             let others = view.members.values();
             let others = others.filter(|member| member.vm != self.settings.vm);
@@ -209,7 +209,8 @@
             if claims
                 .any(|(shard, claimed_epoch)| shard.0 == partition_id && claimed_epoch.0 > epoch)
             {
-                self.keeper.lose_ownership(partition_id, &partition, epoch);
+                self.partitions
+                    .lose_ownership(partition_id, &partition, epoch);
             }
         }
     }
--- a/src/gateway/tokens/owner.rs
+++ b/src/gateway/tokens/owner.rs
@@ -1,6 +1,6 @@
 //! Handles messages of other VMs, and reserves tokens in partitions that this VM owns.
 
-use crate::gateway::peers::{Asked, Copy, Note, Peer, Question, Reply};
+use crate::gateway::peers::{Note, Peer, Question, Replica, Reply, ReplyAddress};
 use crate::gateway::tokens::partition::Partition;
 use crate::gateway::tokens::partitions::STORE_TIMEOUT;
 use crate::gateway::{Gateway, peers};
@@ -33,7 +33,7 @@
         let owner = view.owner(Shard(part))?;
         Some(Peer {
             vm: owner.vm.clone(),
-            address: peers::address(owner.address),
+            address: peers::peer_address(owner.address),
             ready: owner.ready,
         })
     }
@@ -51,7 +51,9 @@
             .members
             .values()
             .map(|member| {
-                let silent = self.peers.is_silent(peers::address(member.address));
+                let silent = self
+                    .peers
+                    .is_unresponsive(peers::peer_address(member.address));
                 let rank = rendezvous(key, member.vm.as_str());
                 (member.ready && !silent, rank, member)
             })
@@ -59,7 +61,7 @@
         members.sort_by_key(|(available, rank, _)| std::cmp::Reverse((*available, *rank)));
         let peers = members.into_iter().map(|(_, _, member)| Peer {
             vm: member.vm.clone(),
-            address: peers::address(member.address),
+            address: peers::peer_address(member.address),
             ready: member.ready,
         });
         peers.collect()
@@ -73,7 +75,7 @@
 
     pub(crate) async fn handle_question(
         self: &Rc<Self>,
-        asked: Asked,
+        asked: ReplyAddress,
         question: Question,
     ) -> Reply {
         match question {
@@ -105,7 +107,7 @@
                 self.reserve_as_owner(request).await
             }
             Question::Keep(replica) => {
-                let partition = self.keeper.partition(replica.part);
+                let partition = self.partitions.partition(replica.part);
                 // The asking VM may have been suspended while this one took over, or it may own the
                 // partition from replicas while this one reaches the store. Either way another VM
                 // may own the partition too, and both would grant the same tokens.
@@ -114,32 +116,32 @@
                     .get()
                     .is_some_and(|ownership| ownership.epoch > replica.epoch);
                 if newer || (!replica.fenced && self.has_store()) {
-                    self.keeper.merge_replica(replica);
+                    self.partitions.merge_replica(replica);
                     return Reply::NotOwner;
                 }
                 partition
                     .unrecorded_replicas
                     .borrow_mut()
                     .insert(replica.program.clone(), replica.allowed);
-                self.keeper.merge_replica(replica);
+                self.partitions.merge_replica(replica);
                 Reply::Kept
             }
             Question::Counts { part } => {
-                let partition = self.keeper.partition(part);
+                let partition = self.partitions.partition(part);
                 Reply::Counting(partition.is_owned_or_in_transfer())
             }
             Question::Heard => Reply::Heard {
-                ago_ms: self.store_heard_ms(),
+                ago_ms: self.store_contact_age_ms(),
             },
             Question::Locate { turn, lost } => self.locate(&turn, lost).await,
             Question::Copies { part } => {
-                let partition = self.keeper.partition(part);
+                let partition = self.partitions.partition(part);
                 let unrecorded_replicas = partition.unrecorded_replicas.borrow();
                 let allowances = unrecorded_replicas.iter().take(REPLICAS_PER_DATAGRAM);
                 let allowances = allowances.map(|(program, allowed)| (program.clone(), *allowed));
                 Reply::Copies {
                     allowed: allowances.collect(),
-                    up_ms: self.keeper.uptime_ms(),
+                    up_ms: self.partitions.uptime_ms(),
                 }
             }
             Question::Adopt {
@@ -152,7 +154,7 @@
                 ending,
             } => {
                 if doubtful {
-                    self.keeper
+                    self.partitions
                         .partition(part)
                         .ledger
                         .borrow_mut()
@@ -173,14 +175,14 @@
                 reservation,
                 used,
             } => {
-                let successor = self.keeper.partition(part).successor.get();
+                let successor = self.partitions.partition(part).successor.get();
                 if let Some(successor) = successor {
-                    self.peers.tell(successor, note).await;
+                    self.peers.notify(successor, note).await;
                 } else {
-                    self.keeper.settle(part, reservation, used);
+                    self.partitions.settle(part, reservation, used);
                 }
             }
-            Note::Copied(replica) => self.keeper.merge_replica(replica),
+            Note::Copied(replica) => self.partitions.merge_replica(replica),
             Note::Holds { turn } => self.conversations.set_holder(turn, from),
         }
     }
@@ -193,7 +195,7 @@
             turn,
             takeover,
         } = request;
-        let partition = self.keeper.partition(partition_id);
+        let partition = self.partitions.partition(partition_id);
         // Answering `NotOwner` during a handover would leave the caller without any owner.
         partition.wait_for_handover().await;
         if partition.ownership.get().is_none() {
@@ -210,7 +212,7 @@
                 .borrow_mut()
                 .reserve(Instant::now(), program, reservation, turn);
         let (turns, total) = partition.ledger.borrow().usage(program);
-        if verdict != Verdict::Covered || self.sampler.takes(program) {
+        if verdict != Verdict::Covered || self.sampler.should_log(program) {
             event!(
                 info,
                 "turn_counted",
@@ -241,7 +243,7 @@
         let still_owner = partition.ownership.get().map(|ownership| ownership.epoch) == epoch;
         // A repeated request for the same reservation may have failed and released it.
         if !durable || !still_owner || !partition.ledger.borrow().is_open(reservation) {
-            self.keeper.settle(partition_id, reservation, 0);
+            self.partitions.settle(partition_id, reservation, 0);
             return if still_owner {
                 Reply::Unrecorded
             } else {
@@ -263,7 +265,7 @@
     ) -> bool {
         let ownership = partition.ownership.get();
         partition.add_pending(program, allowed);
-        Rc::clone(&self.keeper).start_writer(partition_id, Rc::clone(partition));
+        Rc::clone(&self.partitions).start_writer(partition_id, Rc::clone(partition));
         let durable = async {
             loop {
                 let record_written = partition.record_written.notified();
@@ -280,12 +282,12 @@
             }
         };
         let store_timeout =
-            if partition.failing_since.get().is_some() || self.keeper.should_skip_store() {
+            if partition.failing_since.get().is_some() || self.partitions.should_skip_store() {
                 Duration::ZERO
             } else {
                 STORE_TIMEOUT
             };
-        let replica = Copy {
+        let replica = Replica {
             part: partition_id,
             program: program.to_owned(),
             allowed,
@@ -299,7 +301,7 @@
             }
             Err(_)
                 if self
-                    .keeper
+                    .partitions
                     .record_in_fallback_partition(partition_id, partition, &replica)
                     .await =>
             {
@@ -307,8 +309,8 @@
             }
             Err(_)
                 if !partition.ledger.borrow().allows_unrecorded(program, turn)
-                    || !self.reaches_most().await
-                    || self.others_have_store(partition).await =>
+                    || !self.reaches_majority().await
+                    || self.peers_have_store(partition).await =>
             {
                 event!(
                     info,
--- a/src/gateway/tokens/partitions.rs
+++ b/src/gateway/tokens/partitions.rs
@@ -6,7 +6,7 @@
 //! previous owner.
 
 use crate::clock;
-use crate::gateway::peers::Copy;
+use crate::gateway::peers::Replica;
 use crate::gateway::tokens::partition::{Ownership, Partition};
 use crate::gateway::{Gateway, peers};
 use crate::id::{Epoch, Shard};
@@ -60,7 +60,7 @@
     pub(crate) reported_totals: RefCell<HashMap<String, u64>>,
     /// Allowances that were granted but not recorded before this VM lost ownership of their
     /// partition.
-    pub(crate) orphaned_replicas: RefCell<Vec<Copy>>,
+    pub(crate) orphaned_replicas: RefCell<Vec<Replica>>,
     /// The VM that last answered as owner of each partition.
     pub(crate) last_owners: RefCell<HashMap<u64, SocketAddr>>,
     consecutive_failures: Cell<u32>,
@@ -275,7 +275,7 @@
         partition.ownership_ended.set(Some(Instant::now()));
         let unrecorded = partition.pending.take().into_iter();
         let unrecorded = unrecorded.filter(|(key, _)| !key.starts_with(INTERNAL_KEY_PREFIX));
-        let replicas = unrecorded.map(|(program, allowed)| Copy {
+        let replicas = unrecorded.map(|(program, allowed)| Replica {
             part: partition_id,
             program,
             allowed,
@@ -322,7 +322,7 @@
     }
 
     /// Merges a replica of an allowance; the highest value counts.
-    pub(crate) fn merge_replica(&self, replica: Copy) {
+    pub(crate) fn merge_replica(&self, replica: Replica) {
         let partition = self.partition(replica.part);
         if partition.ownership.get().is_some() {
             // The previous owner granted more than this VM knew of and could not record it. Record
@@ -443,10 +443,10 @@
     let mut last_expiry = Instant::now();
     loop {
         sleep(HEARTBEAT_INTERVAL).await;
-        gateway.keeper.queue_heartbeats();
+        gateway.partitions.queue_heartbeats();
         if last_expiry.elapsed() >= IDLE_TIMEOUT_MARGIN / 3 {
             last_expiry = Instant::now();
-            gateway.keeper.expire_idle(PROGRAM_IDLE_TIMEOUT).await;
+            gateway.partitions.expire_idle(PROGRAM_IDLE_TIMEOUT).await;
         }
     }
 }
--- a/src/gateway/tokens/replicas.rs
+++ b/src/gateway/tokens/replicas.rs
@@ -1,7 +1,7 @@
 //! Replicas of allowances at other VMs, for times when the store accepts no records.
 
 use crate::gateway::Gateway;
-use crate::gateway::peers::{Copy, Note, Question, Reply};
+use crate::gateway::peers::{Note, Question, Replica, Reply};
 use crate::gateway::tokens::partition::Partition;
 use crate::telemetry::event;
 use std::time::Duration;
@@ -22,14 +22,14 @@
             let question = Question::Copies { part };
             timeout(COLLECT_TIMEOUT, self.peers.ask(peer.address, &question)).await
         });
-        let mut oldest_uptime_ms = self.keeper.uptime_ms();
+        let mut oldest_uptime_ms = self.partitions.uptime_ms();
         for reply in futures::future::join_all(asks).await {
             let Ok(Some(Reply::Copies { allowed, up_ms })) = reply else {
                 continue;
             };
             oldest_uptime_ms = up_ms.max(oldest_uptime_ms);
             for (program, allowed) in allowed {
-                self.keeper.merge_replica(Copy {
+                self.partitions.merge_replica(Replica {
                     part,
                     program,
                     allowed,
@@ -43,7 +43,7 @@
 
     /// Sends all VMs the allowances that this one granted and could not record.
     pub(crate) async fn broadcast_orphaned_allowances(&self) {
-        let orphans = self.keeper.orphaned_replicas.take();
+        let orphans = self.partitions.orphaned_replicas.take();
         if orphans.is_empty() {
             return;
         }
@@ -57,7 +57,7 @@
         for replica in orphans {
             for peer in members.iter().filter(|peer| peer.vm != self.settings.vm) {
                 self.peers
-                    .tell(peer.address, Note::Copied(replica.clone()))
+                    .notify(peer.address, Note::Copied(replica.clone()))
                     .await;
             }
         }
@@ -65,16 +65,20 @@
 
     /// Sends a durable allowance to the VM that would take over, in case the store becomes
     /// unavailable.
-    pub(crate) async fn send_replica_to_successor(&self, replica: Copy) {
+    pub(crate) async fn send_replica_to_successor(&self, replica: Replica) {
         let next = self.next_candidate(replica.part);
         if let Some(next) = next {
-            self.peers.tell(next.address, Note::Copied(replica)).await;
+            self.peers.notify(next.address, Note::Copied(replica)).await;
         }
     }
 
     /// Replicates an unrecorded allowance to the VMs that would take over. Returns whether any of
     /// them keeps it; gives up ownership if one answers `NotOwner`.
-    pub(crate) async fn replicate_allowance(&self, replica: Copy, partition: &Partition) -> bool {
+    pub(crate) async fn replicate_allowance(
+        &self,
+        replica: Replica,
+        partition: &Partition,
+    ) -> bool {
         let question = Question::Keep(replica.clone());
         let others = self.owner_candidates(replica.part).into_iter();
         let others = others.filter(|peer| peer.vm != self.settings.vm);
@@ -85,7 +89,7 @@
         // Wait for all replies: the one that answers `NotOwner` may come last.
         let replies = futures::future::join_all(asks).await;
         if replies.contains(&Some(Reply::NotOwner)) {
-            self.keeper
+            self.partitions
                 .lose_ownership(replica.part, partition, replica.epoch);
             return false;
         }
--- a/src/gateway/tokens/reserve.rs
+++ b/src/gateway/tokens/reserve.rs
@@ -43,11 +43,11 @@
 impl Gateway {
     /// The VM that last answered as owner, if it is a member and still answers.
     fn last_owner(&self, part: u64) -> Option<SocketAddr> {
-        let address = self.keeper.last_owners.borrow().get(&part).copied()?;
+        let address = self.partitions.last_owners.borrow().get(&part).copied()?;
         let view = self.view.borrow();
         let mut members = view.members.values();
-        let is_member = members.any(|member| peers::address(member.address) == address);
-        (is_member && !self.peers.is_silent(address)).then_some(address)
+        let is_member = members.any(|member| peers::peer_address(member.address) == address);
+        (is_member && !self.peers.is_unresponsive(address)).then_some(address)
     }
 
     /// The VMs to ask for a partition: the announced owner first, then those that should take over.
@@ -75,10 +75,15 @@
         budget: u64,
         most: u64,
     ) -> Result<Grant, Failure> {
-        let part = self.keeper.partition_of(program);
-        let seen = self.keeper.reported_totals.borrow().get(program).copied();
+        let part = self.partitions.partition_of(program);
+        let seen = self
+            .partitions
+            .reported_totals
+            .borrow()
+            .get(program)
+            .copied();
         let seen = seen.unwrap_or_default();
-        let reservation = self.peers.number();
+        let reservation = self.peers.next_number();
         let question = |takeover| Question::Reserve {
             part,
             program: program.to_owned(),
@@ -120,7 +125,7 @@
             if let Some(reply) = reply.filter(is_final) {
                 return Some((reply, peer));
             }
-            self.keeper.last_owners.borrow_mut().remove(&part);
+            self.partitions.last_owners.borrow_mut().remove(&part);
         }
         for round in 0..MAX_ROUNDS {
             // A candidate that answers `NotOwner` may know the owner when this VM does not. Only
@@ -132,7 +137,7 @@
                 asked_count += 1;
                 match self.ask_candidate(peer, question(takeover)).await {
                     Some(reply) if is_final(&reply) => {
-                        self.keeper.last_owners.borrow_mut().insert(part, peer);
+                        self.partitions.last_owners.borrow_mut().insert(part, peer);
                         return Some((reply, peer));
                     }
                     Some(Reply::Taken(address)) if asked_count < MAX_VMS_PER_ROUND => {
@@ -155,7 +160,7 @@
 
     /// Address for messages from other VMs.
     pub(crate) fn peer_address(&self) -> SocketAddr {
-        peers::address(self.settings.listen.peers)
+        peers::peer_address(self.settings.listen.peers)
     }
 
     /// Numeric identifier of this VM, derived from its address.
@@ -173,7 +178,7 @@
     /// Remembers the reported total of a program. Later reservations carry it, so that a new owner
     /// learns of it.
     fn remember_total(&self, program: &str, total: u64) {
-        let mut totals = self.keeper.reported_totals.borrow_mut();
+        let mut totals = self.partitions.reported_totals.borrow_mut();
         if totals.len() >= MAX_REMEMBERED_PROGRAMS {
             totals.clear();
         }
@@ -191,7 +196,7 @@
         } = grant;
         match owner {
             None => self
-                .keeper
+                .partitions
                 .settle(part, self.own_reservation(reservation), used),
             Some(owner) => {
                 let reservation = self.own_reservation(reservation);
@@ -200,7 +205,7 @@
                     reservation,
                     used,
                 };
-                self.peers.tell(owner, note).await;
+                self.peers.notify(owner, note).await;
             }
         }
     }
--- a/src/gateway/world/snapshot.rs
+++ b/src/gateway/world/snapshot.rs
@@ -74,7 +74,7 @@
             continue;
         }
         let (current, snapshot) = {
-            let routing = gateway.world.borrow();
+            let routing = gateway.routing.borrow();
             let version = routing.table.as_ref().map(|table| table.version);
             let current = Some((version, routing.directory.digest()));
             if current == written {
--- a/src/owner/hold.rs
+++ b/src/owner/claim.rs
@@ -16,7 +16,7 @@
     pub(super) fn claim(&self) {
         // Only once ready: a VM that starts reads old offers in the log, long since taken by
         // others, and has no configuration yet to serve programs with.
-        if self.context.local.borrow().ready {
+        if self.context.announcement.borrow().ready {
             for shard in self.offered() {
                 self.append_claim(shard);
             }
@@ -26,8 +26,8 @@
             let members = view.members.values().map(|member| Sighting {
                 vm: member.vm.clone(),
                 eligible: member.ready && !member.suspect,
-                held: if member.vm == self.context.me {
-                    self.context.local.borrow().held.clone()
+                held: if member.vm == self.context.vm {
+                    self.context.announcement.borrow().held.clone()
                 } else {
                     member.held.clone()
                 },
@@ -37,7 +37,7 @@
         let due = self.claimer.borrow_mut().due(Instant::now(), &sightings);
         let others = sightings
             .iter()
-            .any(|member| member.eligible && member.vm != self.context.me);
+            .any(|member| member.eligible && member.vm != self.context.vm);
         for shard in due {
             if !(others && self.leaves(shard)) {
                 self.append_claim(shard);
@@ -110,7 +110,7 @@
 
     fn successor(&self, shard: Shard) -> Option<Vm> {
         let mut view = self.context.view.borrow().as_ref().clone();
-        view.members.remove(&self.context.me);
+        view.members.remove(&self.context.vm);
         view.first(&format!("shard/{shard}"))
             .map(|member| member.vm.clone())
     }
--- a/src/owner/duty.rs
+++ b/src/owner/duty.rs
@@ -1,6 +1,6 @@
 //! The owner thread: claims shards, folds their records and serves requests.
 
-use super::Ask;
+use super::Envelope;
 use super::run::Run;
 use crate::backend;
 use crate::code::{Code, Failure, Ran};
@@ -30,7 +30,7 @@
 /// What the owner works with.
 #[derive(Debug, Clone)]
 pub(crate) struct Context {
-    pub(crate) me: Vm,
+    pub(crate) vm: Vm,
     pub(crate) zone: Zone,
     pub(crate) shards: u64,
     pub(crate) streams: u64,
@@ -38,12 +38,12 @@
     pub(crate) checkpoint_entries: u64,
     pub(crate) config: watch::Receiver<Arc<Snapshot>>,
     pub(crate) view: watch::Receiver<Arc<View>>,
-    pub(crate) local: Arc<watch::Sender<Beat>>,
+    pub(crate) announcement: Arc<watch::Sender<Beat>>,
     pub(crate) journal: flume::Sender<Command>,
     pub(crate) dispatch: dispatch::Client,
     pub(crate) metrics: Metrics,
     /// Cancelled when this VM hands its shards over.
-    pub(crate) leave: CancellationToken,
+    pub(crate) leaving: CancellationToken,
 }
 
 /// One shard of a stream that this VM follows.
@@ -109,7 +109,7 @@
 /// Serves until the rings are closed or every shard has been handed over.
 pub(crate) async fn run(
     context: Context,
-    asks: flume::Receiver<Ask>,
+    asks: flume::Receiver<Envelope>,
     events: flume::Receiver<Event>,
     dumps: flume::Receiver<oneshot::Sender<Value>>,
 ) {
@@ -126,7 +126,7 @@
         numbers: RefCell::new(Numbers::new(context.streams)),
         waiters: RefCell::default(),
         next: RefCell::default(),
-        claimer: RefCell::new(Claimer::new(context.me.clone(), context.shards)),
+        claimer: RefCell::new(Claimer::new(context.vm.clone(), context.shards)),
         context,
     });
     owner.start().await;
@@ -147,7 +147,7 @@
                 Err(_) => return,
             },
             _ = tick.tick() => {
-                if owner.context.leave.is_cancelled() {
+                if owner.context.leaving.is_cancelled() {
                     if owner.release() {
                         return;
                     }
@@ -164,7 +164,7 @@
 impl Owner {
     async fn start(&self) {
         let boot = self.boot;
-        self.context.local.send_modify(|beat| {
+        self.context.announcement.send_modify(|beat| {
             beat.boot = boot;
             beat.held.clear();
         });
@@ -244,7 +244,7 @@
         };
         let sequence = self.numbers.borrow_mut().next(stream);
         let id = Id {
-            vm: self.context.me.clone(),
+            vm: self.context.vm.clone(),
             boot: self.boot,
             sequence,
         };
@@ -343,7 +343,7 @@
     ) -> Vec<(Waiter, Verdict)> {
         let fold = |(index, record): (usize, &Record)| {
             let verdict = self.fold(offset, index, record);
-            let mine = record.id.boot == self.boot && record.id.vm == self.context.me;
+            let mine = record.id.boot == self.boot && record.id.vm == self.context.vm;
             let waiters = &mut self.waiters.borrow_mut();
             let waiter = mine.then(|| waiters.remove(&(stream, record.id.sequence)))?;
             Some((waiter?, verdict))
@@ -374,7 +374,7 @@
 
     fn fold(self: &Rc<Self>, offset: Offset, index: usize, record: &Record) -> Verdict {
         let shard = record.shard;
-        let mine = record.id.boot == self.boot && record.id.vm == self.context.me;
+        let mine = record.id.boot == self.boot && record.id.vm == self.context.vm;
         let verdict = {
             let mut shards = self.shards.borrow_mut();
             let held = shards.entry(shard).or_default();
@@ -401,7 +401,7 @@
                 && let Body::Release { successor } = &record.body
             {
                 held.epoch = None;
-                held.offered = successor.as_ref() == Some(&self.context.me);
+                held.offered = successor.as_ref() == Some(&self.context.vm);
             }
             verdict
         };
@@ -418,7 +418,7 @@
         event!(
             info,
             "shard_claimed",
-            vm = self.context.me,
+            vm = self.context.vm,
             shard = shard,
             epoch = epoch,
             by = by
@@ -439,7 +439,9 @@
             .iter()
             .filter_map(|(shard, held)| Some((*shard, held.epoch?)));
         let held: Vec<(Shard, Epoch)> = held.collect();
-        self.context.local.send_modify(|beat| beat.held = held);
+        self.context
+            .announcement
+            .send_modify(|beat| beat.held = held);
     }
 }
 
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -1,10 +1,10 @@
 //! The owner of shards: runs the calls of programs in order and journals them.
 
-mod care;
 mod checkpoint;
+mod claim;
 mod dump;
 mod duty;
-mod hold;
+mod maintenance;
 mod model;
 mod run;
 mod serve;
@@ -92,8 +92,8 @@
 
 /// A request on its way to the owner.
 #[derive(Debug)]
-pub(crate) struct Ask {
+pub(crate) struct Envelope {
     pub(crate) request: Request,
     pub(crate) frames: mpsc::Sender<Frame>,
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
 }
--- a/src/owner/serve.rs
+++ b/src/owner/serve.rs
@@ -2,7 +2,7 @@
 
 use super::duty::{Owner, not_owner};
 use super::run::Run;
-use super::{Ask, Frame, Position, Request};
+use super::{Envelope, Frame, Position, Request};
 use crate::clock::wall_ms;
 use crate::code::{Code, Failure, Ran};
 use crate::id::{Call, Class, Digest, Program, shard_of};
@@ -16,17 +16,17 @@
 use tokio::time::{Instant, timeout_at};
 
 impl Owner {
-    pub(super) async fn serve(self: Rc<Self>, ask: Ask) {
-        let Ask {
+    pub(super) async fn serve(self: Rc<Self>, ask: Envelope) {
+        let Envelope {
             request,
             frames,
-            until,
+            deadline,
         } = ask;
         let answer = match request {
             Request::Open { key, class, budget } => {
                 let owner = self.clone();
                 let open = async move { owner.open(key, class, budget).await };
-                bounded(until, Ran::Unknown, detached(open)).await
+                bounded(deadline, Ran::Unknown, detached(open)).await
             }
             Request::Call {
                 program,
@@ -34,18 +34,18 @@
                 request,
                 from,
             } => {
-                self.call(program, call, request, from, &frames, until)
+                self.call(program, call, request, from, &frames, deadline)
                     .await
             }
             Request::Read {
                 program,
                 call,
                 from,
-            } => self.read(program, call, from, &frames, until).await,
+            } => self.read(program, call, from, &frames, deadline).await,
             Request::End { program } => {
                 let owner = self.clone();
                 let end = async move { owner.end(program, None).await };
-                bounded(until, Ran::Unknown, detached(end)).await
+                bounded(deadline, Ran::Unknown, detached(end)).await
             }
             Request::Look { program } => self.look(program),
         };
@@ -340,7 +340,7 @@
         let program = held.table.get(id)?;
         Ok(json!({
             "program": id,
-            "owner": self.context.me,
+            "owner": self.context.vm,
             "class": program.class,
             "parent": program.parent,
             "children": program.children,
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -5,7 +5,7 @@
 use crate::config::Book;
 use crate::dispatch::{self, Grant, Key};
 use crate::id::Permit;
-use crate::owner::{Ask, Frame, Request};
+use crate::owner::{Envelope, Frame, Request};
 use crate::policy;
 use crate::telemetry::event;
 use jsonrpsee::core::SubscriptionError;
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Service {
     pub(crate) key: String,
-    pub(crate) owner: flume::Sender<Ask>,
+    pub(crate) owner: flume::Sender<Envelope>,
     pub(crate) dispatch: flume::Sender<dispatch::Command>,
     pub(crate) books: watch::Receiver<Arc<Book>>,
 }
@@ -138,13 +138,13 @@
     }
     let sink = pending.accept().await?;
     let (frames, mut queue) = mpsc::channel(FRAMES);
-    let until = Instant::now() + Duration::from_millis(wait_ms);
+    let deadline = Instant::now() + Duration::from_millis(wait_ms);
     if service
         .owner
-        .try_send(Ask {
+        .try_send(Envelope {
             request,
             frames,
-            until,
+            deadline,
         })
         .is_err()
     {
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -156,7 +156,7 @@
     config: watch::Receiver<Arc<Snapshot>>,
     view: watch::Receiver<Arc<View>>,
     books: watch::Receiver<Arc<Book>>,
-    owner: flume::Sender<owner::Ask>,
+    owner: flume::Sender<owner::Envelope>,
     dispatch: flume::Sender<dispatch::Command>,
     stages: Stages,
 }
@@ -307,13 +307,13 @@
         &self,
         supervisor: &mut Supervisor,
         journal: flume::Sender<journal::Command>,
-        asks: flume::Receiver<owner::Ask>,
+        asks: flume::Receiver<owner::Envelope>,
         events: flume::Receiver<journal::Event>,
         dumps: flume::Receiver<oneshot::Sender<serde_json::Value>>,
     ) {
         let settings = &self.settings;
         let context = owner::Context {
-            me: settings.vm.clone(),
+            vm: settings.vm.clone(),
             zone: settings.zone.clone(),
             shards: settings.shards,
             streams: settings.journal_streams,
@@ -321,7 +321,7 @@
             checkpoint_entries: settings.checkpoint_entries,
             config: self.config.clone(),
             view: self.view.clone(),
-            local: self.local.clone(),
+            announcement: self.local.clone(),
             journal,
             dispatch: dispatch::Client {
                 me: settings.vm.clone(),
@@ -330,7 +330,7 @@
                 links: self.links.clone(),
             },
             metrics: self.metrics.clone(),
-            leave: self.stages.owner.clone(),
+            leaving: self.stages.owner.clone(),
         };
         let stages = self.stages.clone();
         supervisor.duty("owner", move || {
