--- a/src/gateway/front/housekeeping.rs
+++ b/src/gateway/front/housekeeping.rs
@@ -96,7 +96,7 @@
         if last_sweep.elapsed() >= SWEEP_INTERVAL {
             last_sweep = Instant::now();
             gateway.queue.log_waiting();
-            gateway.note_members();
+            gateway.record_members();
             let (directory, confirmed_at) = {
                 let routing = gateway.routing.borrow();
                 (
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,20 +1,20 @@
 //! Forwards the requests of callers to backend servers.
 //!
-//! One thread carries a request from its first byte to its last; what follows the store, and what
-//! may block, are threads of their own.
+//! A request is handled on one thread from start to end. Following the store, membership, and work that may
+//! block run on threads of their own.
 //!
-//! | Module | What it does | Who calls it |
+//! | Module | Purpose | Used by |
 //! |---|---|---|
-//! | `front` | accepts callers, answers the balancer and operators, starts and stops the rest | the command |
-//! | `request` | the life of one request, from its head to its last byte | `front` |
-//! | `tokens` | counts what programs may generate | `request`, other VMs |
-//! | `limits` | counts the requests of teams | `request`, other VMs |
-//! | `reachability` | which VMs there were lately | `limits`, `tokens` |
-//! | `conversation` | keeps turns, and finds what was said before | `request`, other VMs |
-//! | `queue` | lets a request wait for a place at a server | `request`, other VMs |
-//! | `server` | connections to backend servers, and one attempt at one of them | `request` |
-//! | `world` | follows the configuration and the directory of servers | all |
-//! | `peers` | messages between VMs that requests wait for | `tokens`, `conversation`, `queue` |
+//! | `front` | listeners for callers, load balancer and operators; startup and shutdown | the command |
+//! | `request` | handles one request, from its head to the last byte of the response | `front` |
+//! | `tokens` | token budgets of programs | `request`, other VMs |
+//! | `limits` | team limits | `request`, other VMs |
+//! | `reachability` | recently seen members, and whether this VM reaches most of them | `limits`, `tokens` |
+//! | `conversation` | stores turns, and loads conversation histories | `request`, other VMs |
+//! | `queue` | queues requests until a slot at a backend server is free | `request`, other VMs |
+//! | `server` | connections to backend servers, and attempts to forward a request | `request` |
+//! | `world` | follows the configuration and the server directory | all |
+//! | `peers` | messages between VMs on the path of a request | `tokens`, `conversation`, `queue` |
 
 mod conversation;
 mod front;
@@ -52,16 +52,16 @@
 use world::copy::Copier;
 use world::state::Routing;
 
-/// How long the store may be silent before a VM no longer trusts that its configuration is the
-/// newest.
-const BLIND: Duration = Duration::from_secs(3);
+/// Time without an answer of the store after which the configuration may be outdated.
+const CONFIG_STALE_AFTER: Duration = Duration::from_secs(3);
 
-/// What the request thread works with.
+/// State of the request thread.
 #[derive(Debug)]
 pub(crate) struct Gateway {
     settings: settings::Gateway,
-    /// Where the settings are read again from.
+    /// Settings file, read again on SIGHUP.
     settings_path: PathBuf,
+    /// Time limit of a planned stop; follows the settings on reload.
     stop_ms: Cell<u64>,
     zone: Arc<str>,
     routing: watch::Receiver<Routing>,
@@ -86,11 +86,11 @@
         Arc::clone(&self.zone)
     }
 
-    /// Whether the configuration may be out of date: the store has not been heard for a while, or another VM has
+    /// Whether the configuration may be outdated: the store has not answered for a while, or another VM has
     /// applied a newer one.
     fn config_may_be_stale(&self) -> bool {
-        let heard = self.routing.borrow().last_store_read;
-        let blind = heard.is_none_or(|heard| heard.elapsed() > BLIND);
-        blind || self.view.borrow().newest > self.config_version()
+        let last_read = self.routing.borrow().last_store_read;
+        let store_silent = last_read.is_none_or(|at| at.elapsed() > CONFIG_STALE_AFTER);
+        store_silent || self.view.borrow().newest > self.config_version()
     }
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,6 +1,6 @@
-//! Messages between VMs that requests wait for: sealed datagrams, repeated until they are answered.
+//! Messages between VMs on the path of a request: authenticated datagrams, repeated until answered.
 //!
-//! A datagram costs one system call on each side, and one that is lost holds up no other.
+//! A datagram costs one system call on each side, and a lost one does not delay the others.
 
 use crate::conversation::Id;
 use crate::gateway::Gateway;
@@ -21,179 +21,181 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
 
-/// Time after which a question is sent again. A round trip within a region takes 1 to 4 ms.
-const AGAIN: Duration = Duration::from_millis(40);
-/// The same while the answer is known to be worked on: long, since many requests may wait under
-/// load, and short enough to notice soon that the other VM is gone.
-const WORKING: Duration = Duration::from_millis(250);
-/// Answers to one question that are kept: that it is worked on, and the answer itself, each repeated.
-const REPLIES: usize = 4;
-/// How often it is sent; a VM that answers none of them stands still or is gone.
-const SENDS: usize = 4;
-/// For how long a VM that did not answer is not asked first.
-const SILENT: Duration = Duration::from_secs(1);
+/// Time without a reply after which a question is sent again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(40);
+/// The same after a [`Reply::Working`]: long, since many requests may wait under load, but short enough
+/// to notice soon that the other VM failed.
+const WORKING_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Replies to one question that are buffered: [`Reply::Working`] and the answer, each possibly repeated.
+const REPLY_BUFFER: usize = 4;
+/// Sends of a question before the other VM counts as unresponsive.
+const MAX_SENDS: usize = 4;
+/// How long a VM counts as unresponsive after it did not answer.
+const UNRESPONSIVE_PERIOD: Duration = Duration::from_secs(1);
 
 /// A question to another VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Question {
-    /// May a turn of a program run?
+    /// Reserves tokens for a turn of a program.
     #[serde(rename = "r")]
     Reserve {
         part: u64,
         program: String,
         budget: u64,
+        /// Most tokens that the turn generates.
         most: u64,
-        /// Tokens that the asking VM knows to be spent.
+        /// Spent tokens of the program that the asking VM knows of.
         seen: u64,
-        /// The number of the reservation, the same when it is asked again.
+        /// Number of the reservation, the same in retries.
         reservation: u64,
-        /// Whether those that come first did not answer.
+        /// Whether the receiver should take the partition over: the VMs ranked before it did not answer.
         takeover: bool,
     },
-    /// May a request of a team go?
+    /// Asks whether a request is within its team's limit.
     #[serde(rename = "q")]
     Take {
         part: u64,
         take: Acquisition,
-        /// Whether those that come first did not answer.
+        /// As in [`Question::Reserve`].
         takeover: bool,
     },
-    /// Keep an allowance that the store has not taken yet.
+    /// Asks to keep a replica of an allowance that is not recorded in the store yet.
     #[serde(rename = "c")]
     Keep(Replica),
-    /// Which allowances of a partition are kept that the store may lack?
+    /// Asks for the replicas of a partition that may not be recorded in the store.
     #[serde(rename = "l")]
     Copies { part: u64 },
-    /// Does this VM count a partition, or is it about to?
+    /// Asks whether the VM owns a partition or is taking it over.
     #[serde(rename = "h")]
     Counts { part: u64 },
-    /// When did the newest call begin that the store answered this VM?
+    /// Asks how long ago the VM sent the newest call that the store answered.
     #[serde(rename = "s")]
     Heard,
-    /// Which server may a request go to? Answered when one has room.
+    /// Asks for a slot at a backend server. Answered once one is free.
     #[serde(rename = "p")]
     Place(Request),
-    /// Where is a turn?
+    /// Asks which VM has a turn in memory.
     #[serde(rename = "t")]
     Locate {
         turn: Id,
-        /// A VM that was named before and did not give it.
+        /// VM that an earlier reply named, but that did not have the turn.
         lost: Option<SocketAddr>,
     },
-    /// Go on counting a partition, whose writer had this epoch.
+    /// Hands a partition over to the receiver, in one or more messages.
     #[serde(rename = "a")]
     Adopt {
         part: u64,
+        /// Epoch of the previous owner.
         epoch: u64,
-        /// Programs, and the allowance that the store still lacks; zero where it lacks none.
+        /// Programs, each with its allowance that is not recorded in the store, or zero.
         entries: Vec<(Snapshot, u64)>,
-        /// Whether tokens that were given without a record may have been forgotten.
+        /// Whether tokens granted without a record may have been lost.
         doubtful: bool,
-        /// Whether these are the first ones.
+        /// Whether this is the first message of the handover.
         first: bool,
-        /// Whether these are the last ones.
+        /// Whether this is the last message of the handover.
         last: bool,
-        /// Whether to go on even if the store can't be told: the VM before is about to end.
+        /// Whether to take over even if the store can't be reached: the previous owner is about to exit.
         ending: bool,
     },
 }
 
-/// The allowance of a program, for a VM that may take over.
+/// Replica of a program's allowance, kept by a VM that may take the partition over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Replica {
     pub(crate) part: u64,
     pub(crate) program: String,
     pub(crate) allowed: u64,
-    /// The epoch of the VM that gave it.
+    /// Epoch of the owner that granted it.
     pub(crate) epoch: u64,
-    /// Whether the store had shut out the VM before that one.
+    /// Whether the store had fenced the owner before that one.
     pub(crate) fenced: bool,
 }
 
-/// An answer.
+/// The reply to a [`Question`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Reply {
-    /// The turn may run. The turns of the program so far, and the tokens spent or reserved.
+    /// The tokens are reserved. Carries the turns of the program so far, and its tokens spent or reserved.
     #[serde(rename = "g")]
     Granted { turns: u32, total: u64 },
-    /// The budget is spent.
+    /// The token budget is exhausted.
     #[serde(rename = "s")]
     Spent,
-    /// The request may go, after so many milliseconds.
+    /// The request is within the team limit, and may be sent after `wait_ms`.
     #[serde(rename = "m")]
     Admitted { wait_ms: u64 },
-    /// The team has used up its limit; the request may come back after so many milliseconds.
+    /// The team limit is reached; the caller may retry after `retry_ms`.
     #[serde(rename = "v")]
     OverLimit { retry_ms: u64 },
     /// The VM at this address has the turn in memory.
     #[serde(rename = "h")]
     HeldAt(SocketAddr),
-    /// There is no such turn.
+    /// The turn does not exist.
     #[serde(rename = "u")]
     NoTurn,
-    /// Another VM counts this program.
+    /// Another VM owns the partition.
     #[serde(rename = "o")]
     NotOwner,
-    /// This VM has taken the partition a moment ago.
+    /// The VM at this address has taken the partition over.
     #[serde(rename = "t")]
     Taken(SocketAddr),
-    /// The store can't be reached from here, and the program's records are not known.
+    /// The store is unreachable from this VM, which does not know the records needed to answer.
     #[serde(rename = "a")]
     Away,
-    /// This VM counts the program, and can't record what the turn needs.
+    /// This VM owns the partition, but can't record the allowance that the turn needs.
     #[serde(rename = "x")]
     Unrecorded,
-    /// Whether this VM counts the partition that was asked for, or is about to.
+    /// Whether this VM owns the partition or is taking it over.
     #[serde(rename = "y")]
     Counting(bool),
-    /// How many milliseconds ago that was; none where the store refuses records of this VM.
+    /// Age of the newest call that the store answered; `None` if the store refuses records of this VM.
     #[serde(rename = "e")]
     Heard { ago_ms: Option<u64> },
-    /// An answer will follow.
+    /// The question is being worked on; the answer will follow.
     #[serde(rename = "w")]
     Working,
-    /// The copy is kept.
+    /// The replica or the handed-over partition was accepted.
     #[serde(rename = "k")]
     Kept,
-    /// Programs and their allowances, and for how long the VM has run.
+    /// Programs and their unrecorded allowances, and the uptime of the VM.
     #[serde(rename = "c")]
     Copies {
         allowed: Vec<(String, u64)>,
         up_ms: u64,
     },
-    /// The request may go to this server.
+    /// A slot at this backend server is leased for the request.
     #[serde(rename = "p")]
     Placed(Arc<str>),
-    /// The service has no server.
+    /// The service has no usable backend server.
     #[serde(rename = "n")]
     NoServer,
-    /// The request can't be served in time; it may come back after so many milliseconds.
+    /// The request can't be served in time; the caller may retry after `retry_ms`.
     #[serde(rename = "f")]
     Full { retry_ms: u64 },
 }
 
-/// What is told and needs no answer.
+/// A one-way message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Note {
-    /// A turn is over; so many tokens were handed out.
+    /// A turn is over and used this many tokens of its reservation.
     #[serde(rename = "s")]
     Settled {
         part: u64,
         reservation: Reservation,
         used: u64,
     },
-    /// A durable allowance.
+    /// Replica of an allowance.
     #[serde(rename = "c")]
     Copied(Replica),
-    /// The VM that tells this has a turn in memory.
+    /// The sender has a turn in memory.
     #[serde(rename = "h")]
     Holds { turn: Id },
-    /// A request that asked for a place under this number is over, or waits no longer.
+    /// The request that asked for a slot under this question number is over, or no longer waits.
     #[serde(rename = "l")]
     Left { number: u64, outcome: Outcome },
 }
 
-/// A datagram.
+/// Content of a datagram; questions and replies carry the number of the question.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 enum Packet {
     #[serde(rename = "q")]
@@ -204,20 +206,22 @@
     Note(Note),
 }
 
-/// Who asked, and under which number.
+/// Where a reply goes: address of the asking VM, and number of its question.
 pub(crate) type ReplyAddress = (SocketAddr, u64);
 
-/// The datagrams of this VM.
+/// Client and server side of the messages of this VM.
 #[derive(Debug)]
 pub(crate) struct Peers {
     socket: UdpSocket,
     sealer: Sealer,
-    /// Numbers of questions; begins at random, so that a restart repeats none.
-    numbers: Cell<u64>,
-    waiting: RefCell<HashMap<u64, mpsc::Sender<Reply>>>,
-    /// Questions that are being worked on, so that a repeated one is not worked on twice.
-    working: RefCell<HashSet<(SocketAddr, u64)>>,
-    silent: RefCell<HashMap<SocketAddr, Instant>>,
+    /// Starts at a random number, so that a restart does not reuse one.
+    next_number: Cell<u64>,
+    /// Unanswered questions of this VM.
+    pending: RefCell<HashMap<u64, mpsc::Sender<Reply>>>,
+    /// Questions of other VMs that are being worked on, so that a retry does not start the work again.
+    in_progress: RefCell<HashSet<(SocketAddr, u64)>>,
+    /// Until when each of these VMs counts as unresponsive.
+    unresponsive: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
 impl Peers {
@@ -225,34 +229,34 @@
         Self {
             socket,
             sealer: Sealer::new(key),
-            numbers: Cell::new(u64::from(rand::random::<u32>()) << 24),
-            waiting: RefCell::default(),
-            working: RefCell::default(),
-            silent: RefCell::default(),
+            next_number: Cell::new(u64::from(rand::random::<u32>()) << 24),
+            pending: RefCell::default(),
+            in_progress: RefCell::default(),
+            unresponsive: RefCell::default(),
         }
     }
 
-    /// A number that no question or reservation of this VM had before.
+    /// Number for a question or reservation, not used before by this VM.
     pub(crate) fn next_number(&self) -> u64 {
-        let number = self.numbers.get();
-        self.numbers.set(number + 1);
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         number
     }
 
-    /// Whether a VM has not answered lately.
+    /// Whether a VM recently left a question unanswered.
     pub(crate) fn is_unresponsive(&self, peer: SocketAddr) -> bool {
-        let silent = self.silent.borrow();
-        silent
+        let unresponsive = self.unresponsive.borrow();
+        unresponsive
             .get(&peer)
             .is_some_and(|until| Instant::now() < *until)
     }
 
-    /// Asks until there is an answer; none comes from a VM that stands still or is gone.
+    /// Sends a question until it is answered; `None` if the VM does not respond.
     pub(crate) async fn ask(&self, peer: SocketAddr, question: &Question) -> Option<Reply> {
         self.ask_numbered(self.next_number(), peer, question).await
     }
 
-    /// Asks under a number that was drawn before.
+    /// As [`Peers::ask`], with a number from [`Peers::next_number`].
     pub(crate) async fn ask_numbered(
         &self,
         number: u64,
@@ -260,31 +264,31 @@
         question: &Question,
     ) -> Option<Reply> {
         let packet = Packet::Question(number, question.clone());
-        let (answers, mut replies) = mpsc::channel(REPLIES);
-        self.waiting.borrow_mut().insert(number, answers);
-        let _waiting = Waiting {
+        let (sender, mut replies) = mpsc::channel(REPLY_BUFFER);
+        self.pending.borrow_mut().insert(number, sender);
+        let _pending = Pending {
             peers: self,
             number,
         };
-        let (mut sends, mut pause) = (0, AGAIN);
-        while sends < SENDS {
+        let (mut sends, mut pause) = (0, RETRY_INTERVAL);
+        while sends < MAX_SENDS {
             self.send(peer, &packet).await;
             sends += 1;
             while let Ok(Some(reply)) = timeout(pause, replies.recv()).await {
                 if reply != Reply::Working {
                     return Some(reply);
                 }
-                (sends, pause) = (0, WORKING);
+                (sends, pause) = (0, WORKING_RETRY_INTERVAL);
             }
-            pause = AGAIN;
+            pause = RETRY_INTERVAL;
         }
         event!(warn, "peer_silent", peer = peer, sends = sends);
-        let until = Instant::now() + SILENT;
-        self.silent.borrow_mut().insert(peer, until);
+        let until = Instant::now() + UNRESPONSIVE_PERIOD;
+        self.unresponsive.borrow_mut().insert(peer, until);
         None
     }
 
-    /// Tells without waiting for an answer.
+    /// Sends a one-way message.
     pub(crate) async fn notify(&self, peer: SocketAddr, note: Note) {
         self.send(peer, &Packet::Note(note)).await;
     }
@@ -296,38 +300,38 @@
         }
     }
 
-    /// Tells whoever asked that an answer will follow.
+    /// Tells the asking VM that its question is being worked on.
     pub(crate) async fn send_working(&self, (peer, number): ReplyAddress) {
         self.send(peer, &Packet::Reply(number, Reply::Working))
             .await;
     }
 
-    fn answered(&self, number: u64, reply: Reply) {
-        if let Some(waiting) = self.waiting.borrow().get(&number) {
-            // Of repeated answers one is enough.
-            drop(waiting.try_send(reply));
+    fn handle_reply(&self, number: u64, reply: Reply) {
+        if let Some(sender) = self.pending.borrow().get(&number) {
+            // A full channel already holds a copy of a repeated reply.
+            drop(sender.try_send(reply));
         }
     }
 }
 
-/// A question that waits for its answer. Whoever asked may give up at any time.
-struct Waiting<'a> {
+/// Removes a pending question when it is answered or its future is dropped.
+struct Pending<'a> {
     peers: &'a Peers,
     number: u64,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for Pending<'_> {
     fn drop(&mut self) {
-        self.peers.waiting.borrow_mut().remove(&self.number);
+        self.peers.pending.borrow_mut().remove(&self.number);
     }
 }
 
-/// The port of the datagrams of this module: the one after that of membership.
+/// Address for messages between VMs: the port after that of the membership protocol.
 pub(crate) fn peer_address(member: SocketAddr) -> SocketAddr {
     SocketAddr::new(member.ip(), member.port() + 1)
 }
 
-/// Takes datagrams in until the process ends.
+/// Receives and handles datagrams until the process ends.
 pub(crate) async fn receive(gateway: Rc<Gateway>) {
     let mut buffer = vec![0; DATAGRAM + 1];
     loop {
@@ -335,36 +339,36 @@
             continue;
         };
         match gateway.peers.sealer.open(&buffer[..size]) {
-            Some(Packet::Reply(number, reply)) => gateway.peers.answered(number, reply),
+            Some(Packet::Reply(number, reply)) => gateway.peers.handle_reply(number, reply),
             Some(Packet::Note(note)) => gateway.handle_note(from, note).await,
             Some(Packet::Question(number, question)) => {
-                tokio::task::spawn_local(work(Rc::clone(&gateway), from, number, question));
+                tokio::task::spawn_local(answer(Rc::clone(&gateway), from, number, question));
             }
             None => event!(warn, "datagram_refused", from = from, bytes = size),
         }
     }
 }
 
-async fn work(gateway: Rc<Gateway>, from: SocketAddr, number: u64, question: Question) {
+async fn answer(gateway: Rc<Gateway>, from: SocketAddr, number: u64, question: Question) {
     let peers = &gateway.peers;
-    if !peers.working.borrow_mut().insert((from, number)) {
+    if !peers.in_progress.borrow_mut().insert((from, number)) {
         return peers.send_working((from, number)).await;
     }
     let reply = gateway.handle_question((from, number), question).await;
-    peers.working.borrow_mut().remove(&(from, number));
+    peers.in_progress.borrow_mut().remove(&(from, number));
     peers.send(from, &Packet::Reply(number, reply)).await;
 }
 
-/// A number for a VM by its address, as [`crate::policy::allowance`] wants one.
+/// Numeric id of a VM for [`crate::policy::allowance`], derived from its address.
 pub(crate) fn vm_number(address: SocketAddr) -> u64 {
     xxhash_rust::xxh3::xxh3_64(address.to_string().as_bytes())
 }
 
-/// A member as this module needs it.
+/// Another VM, by its address for messages between VMs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Peer {
     pub(crate) vm: Vm,
     pub(crate) address: SocketAddr,
-    /// Whether it reaches the store and does not stop.
+    /// Whether the member announces that it may own partitions and queues.
     pub(crate) ready: bool,
 }
--- a/src/gateway/reachability.rs
+++ b/src/gateway/reachability.rs
@@ -1,4 +1,4 @@
-//! Which VMs there were lately, and whether this one reaches most of them.
+//! Tracks the recently seen members, and whether this VM reaches most of them.
 
 use crate::gateway::peers::{Question, Reply};
 use crate::gateway::tokens::partition::Partition;
@@ -16,49 +16,49 @@
 use tokio::sync::Mutex;
 use tokio::time::{Instant, timeout};
 
-/// How long a VM counts that is heard no more. Cuts last for seconds, or for minutes between regions; VMs that
-/// are taken away for good are few in that time.
-const LATELY: Duration = Duration::from_mins(5);
-/// How long the VMs of a sample may take to answer: a round trip within a region takes 1 to 4 ms.
-const ANSWER: Duration = Duration::from_millis(100);
-/// How long an answer is used. While the store is away every new allowance asks.
-const FRESH: Duration = Duration::from_millis(400);
+/// How long a VM that is no longer a member still counts. Longer than most network failures, and short
+/// enough that few VMs are removed for good meanwhile.
+const MEMBER_RETENTION: Duration = Duration::from_mins(5);
+/// How long the sampled VMs may take to answer.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long a sample is reused: in a store outage every new allowance needs one.
+const SAMPLE_MAX_AGE: Duration = Duration::from_millis(400);
 
-/// When each VM was last a member, and where it is asked.
+/// Address of each recent member and when it was last seen, and the newest sample.
 #[derive(Debug, Default)]
 pub(crate) struct Members {
     seen: RefCell<HashMap<Vm, (SocketAddr, Instant)>>,
-    newest: Mutex<Option<Answers>>,
+    newest_sample: Mutex<Option<Sample>>,
 }
 
-/// What a sample of VMs answered.
+/// Replies of a random sample of the recent members.
 #[derive(Debug, Clone, Copy)]
-struct Answers {
-    at: Instant,
-    reach: Reachability,
-    /// When the newest call began that the store answered one of them; none where it answered nobody.
-    store_heard: Option<Instant>,
+struct Sample {
+    taken_at: Instant,
+    reachability: Reachability,
+    /// Start of the newest call that the store answered to one of the sampled VMs.
+    last_store_contact: Option<Instant>,
 }
 
 impl Members {
-    fn note(&self, now: Instant, view: &View) {
+    fn record(&self, now: Instant, view: &View) {
         let mut seen = self.seen.borrow_mut();
         for member in view.members.values().filter(|member| !member.suspect) {
-            let entry = (peers::peer_address(member.address), now);
+            let sighting = (peers::peer_address(member.address), now);
             match seen.get_mut(&member.vm) {
-                Some(known) => *known = entry,
-                None => drop(seen.insert(member.vm.clone(), entry)),
+                Some(known) => *known = sighting,
+                None => drop(seen.insert(member.vm.clone(), sighting)),
             }
         }
-        seen.retain(|_, (_, at)| *at + LATELY > now);
+        seen.retain(|_, (_, at)| *at + MEMBER_RETENTION > now);
     }
 
-    /// How many VMs were members lately, this one among them.
-    pub(crate) fn known(&self) -> usize {
+    /// Number of recently seen members, including this VM.
+    pub(crate) fn count(&self) -> usize {
         self.seen.borrow().len()
     }
 
-    fn sample(&self, own: SocketAddr) -> Vec<SocketAddr> {
+    fn sample_others(&self, own: SocketAddr) -> Vec<SocketAddr> {
         let seen = self.seen.borrow();
         let others = seen.values().map(|(address, _)| *address);
         let others = others.filter(|address| *address != own);
@@ -67,77 +67,78 @@
 }
 
 impl Gateway {
-    /// Notes who is a member, for a time in which most are not heard.
-    pub(crate) fn note_members(&self) {
+    /// Records the present members, so that they still count while they can't be reached.
+    pub(crate) fn record_members(&self) {
         self.recent_members
-            .note(Instant::now(), &self.view.borrow());
+            .record(Instant::now(), &self.view.borrow());
     }
 
-    /// Whether this VM reaches most of the VMs that there were lately.
+    /// Whether this VM reaches most of the recently seen members.
     ///
-    /// A third of the VMs was cut off from the store and from all others. Among themselves they found nobody who
-    /// had the store, took that for an outage and gave 960 tokens without a record, while the others took
-    /// their partitions at the store and gave 864 of the same budget of 576. The members that are heard tell only
-    /// seconds later.
+    /// Guards against a network split: a minority without the store would assume a store outage and grant
+    /// tokens without a record, while the majority grants from the same budgets. The membership view shows
+    /// the split only seconds later.
     pub(crate) async fn reaches_majority(&self) -> bool {
         self.reachability().await.is_majority()
     }
 
-    /// How many of the VMs that there were lately answer this one.
+    /// How many of the recently seen members answer this VM.
     pub(crate) async fn reachability(&self) -> Reachability {
-        self.answers().await.reach
+        self.fresh_sample().await.reachability
     }
 
-    /// Whether the store has answered one of the others since it last failed to take records of a partition.
+    /// Whether the store has answered another VM since this VM's writes to a partition began to fail.
     ///
-    /// After a cut a VM may reach most others before it learns that the store has shut it out: another VM counts
-    /// the partition by then, and a program would get the same tokens from both.
-    pub(crate) async fn peers_have_store(&self, part: &Partition) -> bool {
-        let Some(failing) = part.failing_since.get() else {
+    /// After a network split a VM may reach most others before it learns that the store has fenced it: by then
+    /// another VM owns the partition, and a program would get the same tokens from both.
+    pub(crate) async fn peers_have_store(&self, partition: &Partition) -> bool {
+        let Some(failing) = partition.failing_since.get() else {
             return false;
         };
-        let heard = self.answers().await.store_heard;
-        heard_after_loss(failing.elapsed(), heard.map(|heard| heard.elapsed()))
+        let last_contact = self.fresh_sample().await.last_store_contact;
+        heard_after_loss(failing.elapsed(), last_contact.map(|at| at.elapsed()))
     }
 
-    async fn answers(&self) -> Answers {
-        // Who asks at the same time waits for one sample.
-        let mut newest = self.recent_members.newest.lock().await;
-        if let Some(answers) = newest.filter(|answers| answers.at.elapsed() < FRESH) {
-            return answers;
+    async fn fresh_sample(&self) -> Sample {
+        // Concurrent callers wait for the same sample.
+        let mut newest = self.recent_members.newest_sample.lock().await;
+        if let Some(sample) = newest.filter(|sample| sample.taken_at.elapsed() < SAMPLE_MAX_AGE) {
+            return sample;
         }
-        let sample = self.recent_members.sample(self.peer_address());
-        let asks = sample.iter().map(|peer| async move {
-            let reply = timeout(ANSWER, self.peers.ask(*peer, &Question::Heard)).await;
+        let addresses = self.recent_members.sample_others(self.peer_address());
+        let questions = addresses.iter().map(|peer| async move {
+            let reply = timeout(REPLY_TIMEOUT, self.peers.ask(*peer, &Question::Heard)).await;
             reply.ok().flatten()
         });
-        let replies: Vec<Reply> = join_all(asks).await.into_iter().flatten().collect();
-        let reach = Reachability {
+        let replies: Vec<Reply> = join_all(questions).await.into_iter().flatten().collect();
+        let reachability = Reachability {
             answered: replies.len(),
-            asked: sample.len(),
-            known: self.recent_members.known(),
+            asked: addresses.len(),
+            known: self.recent_members.count(),
         };
-        let heard = replies.iter().filter_map(|reply| match reply {
+        let contact_ages = replies.iter().filter_map(|reply| match reply {
             Reply::Heard { ago_ms } => ago_ms.map(Duration::from_millis),
             _ => None,
         });
-        let answers = Answers {
-            at: Instant::now(),
-            reach,
-            store_heard: heard.min().and_then(|ago| Instant::now().checked_sub(ago)),
+        let sample = Sample {
+            taken_at: Instant::now(),
+            reachability,
+            last_store_contact: contact_ages
+                .min()
+                .and_then(|ago| Instant::now().checked_sub(ago)),
         };
-        let before = newest.map(|answers| answers.reach.is_majority());
-        if before != Some(reach.is_majority()) {
+        let previous = newest.map(|sample| sample.reachability.is_majority());
+        if previous != Some(reachability.is_majority()) {
             event!(
                 info,
                 "members_asked",
-                answered = reach.answered,
-                asked = reach.asked,
-                known = reach.known,
-                most = reach.is_majority()
+                answered = reachability.answered,
+                asked = reachability.asked,
+                known = reachability.known,
+                most = reachability.is_majority()
             );
         }
-        *newest = Some(answers);
-        answers
+        *newest = Some(sample);
+        sample
     }
 }
