--- a/src/owner/checkpoint.rs
+++ b/src/owner/checkpoint.rs
@@ -1,4 +1,4 @@
-//! Checkpoints: each shard is written whole from time to time, so that the log may trim.
+//! Checkpoints: writes the full state of each shard from time to time, so that the log can be trimmed.
 
 use super::duty::Owner;
 use crate::id::{Epoch, Program, Shard};
@@ -10,55 +10,55 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The pause before a program that has records under way is looked at again.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Pause before a retry for programs with records on their way.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Owner {
-    /// Claims the shard anew whose last checkpoints are furthest back, if that is far enough.
+    /// Claims the shard with the oldest checkpoints again, if these are old enough.
     ///
-    /// A reader that starts behind the old claim could judge no record: it needs a claim that is
-    /// still in the log, and everything from there on.
-    pub(super) fn renew(&self) {
-        let Some(shard) = self.furthest_behind() else {
+    /// The checkpoints follow the new claim: a reader can only validate records that come after a claim, so the
+    /// claim must still be in the log.
+    pub(super) fn renew_oldest_claim(&self) {
+        let Some(shard) = self.shard_to_checkpoint() else {
             return;
         };
-        if let Err(failure) = self.push(shard, Epoch::default(), Body::Claim) {
+        if let Err(failure) = self.submit(shard, Epoch::default(), Body::Claim) {
             event!(warn, "claim_failed", shard = shard, reason = failure);
             return;
         }
-        if let Some(held) = self.shards.borrow_mut().get_mut(&shard) {
-            held.renewing = true;
+        if let Some(state) = self.shards.borrow_mut().get_mut(&shard) {
+            state.checkpointing = true;
         }
     }
 
-    /// The shard to write next; none while one is being written.
-    fn furthest_behind(&self) -> Option<Shard> {
+    /// Owned shard with the oldest checkpoints; `None` if they are recent, or while a shard is being written.
+    fn shard_to_checkpoint(&self) -> Option<Shard> {
         let shards = self.shards.borrow();
-        if shards.values().any(|held| held.renewing) {
+        if shards.values().any(|state| state.checkpointing) {
             return None;
         }
-        let next = self.next.borrow();
-        let owned = shards.iter().filter_map(|(shard, held)| {
-            held.epoch.filter(|_| !held.gap && !held.leaving)?;
-            let end = next.get(&stream_of(*shard, self.context.streams))?;
-            Some((end.0.saturating_sub(held.base.0), *shard))
+        let next_offsets = self.next_offsets.borrow();
+        let owned = shards.iter().filter_map(|(shard, state)| {
+            state.epoch.filter(|_| !state.gap && !state.releasing)?;
+            let end = next_offsets.get(&stream_of(*shard, self.context.streams))?;
+            Some((end.0.saturating_sub(state.checkpoint_offset.0), *shard))
         });
         let (behind, shard) = owned.max()?;
         (behind > self.context.checkpoint_entries).then_some(shard)
     }
 
-    /// Starts the checkpoints of a shard that this VM has claimed anew.
-    pub(super) fn renewed(self: &Rc<Self>, shard: Shard, epoch: Epoch) {
+    /// Writes the checkpoints of a shard after its renewed claim was read back.
+    pub(super) fn start_checkpoint(self: &Rc<Self>, shard: Shard, epoch: Epoch) {
         let shards = self.shards.borrow();
-        if shards.get(&shard).is_some_and(|held| held.renewing) {
-            spawn_local(self.clone().checkpoint(shard, epoch));
+        if shards.get(&shard).is_some_and(|state| state.checkpointing) {
+            spawn_local(self.clone().write_checkpoint(shard, epoch));
         }
     }
 
-    async fn checkpoint(self: Rc<Self>, shard: Shard, epoch: Epoch) {
+    async fn write_checkpoint(self: Rc<Self>, shard: Shard, epoch: Epoch) {
         let mut written = BTreeSet::new();
-        while self.epoch(shard) == Ok(epoch) {
-            let Some(roots) = self.unwritten(shard, &written) else {
+        while self.owned_epoch(shard) == Ok(epoch) {
+            let Some(roots) = self.unwritten_roots(shard, &written) else {
                 let programs = written.len();
                 event!(
                     info,
@@ -66,21 +66,25 @@
                     shard = shard,
                     programs = programs
                 );
-                let _ = self.append_surely(shard, epoch, Body::Checkpointed).await;
+                let _ = self.append_retrying(shard, epoch, Body::Checkpointed).await;
                 break;
             };
             for root in roots {
                 self.write_tree(shard, epoch, root, &mut written);
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_INTERVAL).await;
         }
-        if let Some(held) = self.shards.borrow_mut().get_mut(&shard) {
-            held.renewing = false;
+        if let Some(state) = self.shards.borrow_mut().get_mut(&shard) {
+            state.checkpointing = false;
         }
     }
 
-    /// The roots of trees that have a program without a checkpoint; none when all have one.
-    fn unwritten(&self, shard: Shard, written: &BTreeSet<Program>) -> Option<BTreeSet<Program>> {
+    /// Roots of the program trees with a program not written yet; `None` if all are written.
+    fn unwritten_roots(
+        &self,
+        shard: Shard,
+        written: &BTreeSet<Program>,
+    ) -> Option<BTreeSet<Program>> {
         let shards = self.shards.borrow();
         let table = &shards.get(&shard)?.table;
         let missing = table
@@ -92,10 +96,10 @@
         (!roots.is_empty()).then_some(roots)
     }
 
-    /// Writes a tree of programs in one go, if none of it has a record under way.
+    /// Writes all programs of a tree at once, unless one has a record on its way.
     ///
-    /// A record that was written before the checkpoint and read after its state was taken would
-    /// be missing from it, and a reader that starts there would lose a call.
+    /// The checkpoint would miss a record that comes before it in the log but is read back after the state was
+    /// copied, and a reader that starts at the checkpoint would lose a call.
     fn write_tree(
         &self,
         shard: Shard,
@@ -103,29 +107,29 @@
         root: Program,
         written: &mut BTreeSet<Program>,
     ) {
-        let states: Vec<_> = {
+        let programs: Vec<_> = {
             let shards = self.shards.borrow();
-            let Some(held) = shards.get(&shard) else {
+            let Some(state) = shards.get(&shard) else {
                 return;
             };
-            let tree = held.table.tree(root);
+            let tree = state.table.tree(root);
             let waiters = self.waiters.borrow();
-            let under_way = |waiter: &super::duty::Waiter| {
+            let in_tree = |waiter: &super::duty::Waiter| {
                 waiter
                     .program
                     .is_some_and(|program| tree.contains(&program))
             };
-            if waiters.values().any(under_way) || !self.has_room(tree.len()) {
+            if waiters.values().any(in_tree) || !self.journal_has_room(tree.len()) {
                 return;
             }
-            let states = tree.iter().filter_map(|id| held.table.get(*id).ok());
-            states.cloned().collect()
+            let programs = tree.iter().filter_map(|id| state.table.get(*id).ok());
+            programs.cloned().collect()
         };
-        for state in states {
-            let id = state.id;
-            let program = Box::new(state);
+        for program in programs {
+            let id = program.id;
+            let program = Box::new(program);
             if self
-                .push(shard, epoch, Body::Checkpoint { program })
+                .submit(shard, epoch, Body::Checkpoint { program })
                 .is_ok()
             {
                 written.insert(id);
--- a/src/owner/claim.rs
+++ b/src/owner/claim.rs
@@ -1,4 +1,4 @@
-//! Which shards this VM holds: claims, hand-over and release.
+//! Claims, handover and release of shards.
 
 use super::duty::Owner;
 use crate::id::{Epoch, Shard, Vm};
@@ -7,21 +7,22 @@
 use crate::telemetry::event;
 use tokio::time::Instant;
 
-/// Claims of a shard with a gap that are left to other VMs, so that nobody is answered with the
-/// gap while there is a VM without one.
-const LEFT: u32 = 2;
+/// Times that this VM leaves the claim of a shard to other VMs while it misses records of the shard: another VM
+/// may have read all of them.
+const MAX_SKIPPED_CLAIMS: u32 = 2;
 
 impl Owner {
-    /// Claims what has been released to this VM, and what has lacked an owner for a while.
-    pub(super) fn claim(&self) {
-        // Only once ready: a VM that starts reads old offers in the log, long since taken by
-        // others, and has no configuration yet to serve programs with.
+    /// Claims the shards that were released to this VM or had no owner for a while, and hands over a shard to
+    /// balance the load.
+    pub(super) fn claim_shards(&self) {
+        // Only once ready: a starting VM has no configuration yet, and reads releases in the log that
+        // others have long since claimed.
         if self.context.announcement.borrow().ready {
-            for shard in self.offered() {
+            for shard in self.take_offered() {
                 self.append_claim(shard);
             }
         }
-        let sightings: Vec<Sighting> = {
+        let members: Vec<Sighting> = {
             let view = self.context.view.borrow();
             let members = view.members.values().map(|member| Sighting {
                 vm: member.vm.clone(),
@@ -34,78 +35,81 @@
             });
             members.collect()
         };
-        let due = self.claimer.borrow_mut().due(Instant::now(), &sightings);
-        let others = sightings
+        let due = self.claimer.borrow_mut().due(Instant::now(), &members);
+        let others = members
             .iter()
             .any(|member| member.eligible && member.vm != self.context.vm);
         for shard in due {
-            if !(others && self.leaves(shard)) {
+            if !(others && self.skips_claim(shard)) {
                 self.append_claim(shard);
             }
         }
         let mut claimer = self.claimer.borrow_mut();
-        let spare = claimer.spare(Instant::now(), &sightings, |shard| self.idle(shard));
-        if let Some((shard, successor)) = spare {
+        let handover = claimer.spare(Instant::now(), &members, |shard| self.is_idle(shard));
+        if let Some((shard, successor)) = handover {
             self.hand_over(shard, Some(successor));
         }
     }
 
-    /// Whether nothing of a shard is under way and it is not being handed over.
-    fn idle(&self, shard: Shard) -> bool {
+    /// Whether a shard is owned, not being handed over, and has no call in progress.
+    fn is_idle(&self, shard: Shard) -> bool {
         let shards = self.shards.borrow();
-        let held = shards.get(&shard);
-        let stays = held.is_some_and(|held| held.epoch.is_some() && !held.leaving);
+        let state = shards.get(&shard);
+        let is_owned = state.is_some_and(|state| state.epoch.is_some() && !state.releasing);
         let runs = self.runs.borrow();
-        stays && !runs.values().any(|run| run.program.shard() == shard)
+        is_owned && !runs.values().any(|run| run.program.shard() == shard)
     }
 
-    /// Releases a shard in favour of a successor; with the journal's queue full, a later tick
-    /// tries again.
+    /// Releases a shard to a successor; retried by a later tick if the journal's queue is full.
     fn hand_over(&self, shard: Shard, successor: Option<Vm>) {
-        let epoch = self.shards.borrow().get(&shard).and_then(|held| held.epoch);
+        let epoch = self
+            .shards
+            .borrow()
+            .get(&shard)
+            .and_then(|state| state.epoch);
         let Some(epoch) = epoch else { return };
-        let pushed = self.push(shard, epoch, Body::Release { successor });
+        let pushed = self.submit(shard, epoch, Body::Release { successor });
         if let Err(failure) = &pushed {
             event!(warn, "release_failed", shard = shard, reason = failure);
         }
-        if let Some(held) = self.shards.borrow_mut().get_mut(&shard) {
-            held.leaving = pushed.is_ok();
+        if let Some(state) = self.shards.borrow_mut().get_mut(&shard) {
+            state.releasing = pushed.is_ok();
         }
     }
 
-    /// Whether a claim is left to the other VMs, which may have read what this one misses.
-    fn leaves(&self, shard: Shard) -> bool {
+    /// Whether to leave the claim to other VMs, which may have read the records that this VM misses.
+    fn skips_claim(&self, shard: Shard) -> bool {
         let mut shards = self.shards.borrow_mut();
-        let held = shards.entry(shard).or_default();
-        held.left += u32::from(held.gap);
-        held.gap && held.left <= LEFT
+        let state = shards.entry(shard).or_default();
+        state.skipped_claims += u32::from(state.gap);
+        state.gap && state.skipped_claims <= MAX_SKIPPED_CLAIMS
     }
 
-    /// Takes the shards that were released to this VM.
-    fn offered(&self) -> Vec<Shard> {
+    /// Shards that were released to this VM since the last call.
+    fn take_offered(&self) -> Vec<Shard> {
         let mut shards = self.shards.borrow_mut();
-        let taken = shards
+        let offered = shards
             .iter_mut()
-            .filter_map(|(shard, held)| std::mem::take(&mut held.offered).then_some(*shard));
-        taken.collect()
+            .filter_map(|(shard, state)| std::mem::take(&mut state.offered).then_some(*shard));
+        offered.collect()
     }
 
     pub(super) fn append_claim(&self, shard: Shard) {
-        if let Err(failure) = self.push(shard, Epoch::default(), Body::Claim) {
+        if let Err(failure) = self.submit(shard, Epoch::default(), Body::Claim) {
             event!(warn, "claim_failed", shard = shard, reason = failure);
         }
     }
 
-    /// Hands over each shard that has no run; true once none is left.
-    pub(super) fn release(&self) -> bool {
+    /// Hands over each idle shard; `true` once this VM owns none.
+    pub(super) fn release_shards(&self) -> bool {
         let shards = self.shards.borrow();
-        let held = shards.iter().filter(|(_, held)| held.epoch.is_some());
-        let held: Vec<Shard> = held.map(|(shard, _)| *shard).collect();
+        let owned = shards.iter().filter(|(_, state)| state.epoch.is_some());
+        let owned: Vec<Shard> = owned.map(|(shard, _)| *shard).collect();
         drop(shards);
-        for shard in held.iter().filter(|shard| self.idle(**shard)) {
+        for shard in owned.iter().filter(|shard| self.is_idle(**shard)) {
             self.hand_over(*shard, self.successor(*shard));
         }
-        held.is_empty()
+        owned.is_empty()
     }
 
     fn successor(&self, shard: Shard) -> Option<Vm> {
--- a/src/owner/dump.rs
+++ b/src/owner/dump.rs
@@ -1,22 +1,22 @@
-//! What the owner tells an operator of its state.
+//! State of the owner thread as shown to operators.
 
 use super::duty::Owner;
 use crate::program::Table;
 use serde_json::{Value, json};
 
 impl Owner {
-    /// The shards that this VM owns, their open programs and the runs under way.
+    /// Owned shards, their open programs, and the calls in progress.
     pub(super) fn dump(&self) -> Value {
         let shards = self.shards.borrow();
         let runs = self.runs.borrow();
-        let owned = shards.iter().filter_map(|(shard, held)| {
-            let epoch = held.epoch?;
+        let owned = shards.iter().filter_map(|(shard, shard_state)| {
+            let epoch = shard_state.epoch?;
             let state = json!({
                 "epoch": epoch,
-                "leaving": held.leaving,
-                "programs": held.table.iter().count(),
-                "open": held.table.open(),
-                "open_programs": open_programs(&held.table),
+                "leaving": shard_state.releasing,
+                "programs": shard_state.table.iter().count(),
+                "open": shard_state.table.open(),
+                "open_programs": open_programs(&shard_state.table),
             });
             Some((shard.to_string(), state))
         });
@@ -32,10 +32,10 @@
     }
 }
 
-/// What each program that has not ended waits for, as far as its records tell.
+/// Next call and open intent of each program that has not ended.
 fn open_programs(table: &Table) -> Value {
     let open = table.iter().filter(|program| !program.is_ended());
-    let told = open.map(|program| {
+    let states = open.map(|program| {
         let state = json!({
             "class": program.class,
             "next_call": program.next(),
@@ -44,5 +44,5 @@
         });
         (program.id.to_string(), state)
     });
-    Value::Object(told.collect())
+    Value::Object(states.collect())
 }
--- a/src/owner/duty.rs
+++ b/src/owner/duty.rs
@@ -1,4 +1,4 @@
-//! The owner thread: claims shards, folds their records and serves requests.
+//! The owner thread: claims shards, applies their records and serves requests.
 
 use super::Envelope;
 use super::run::Run;
@@ -24,10 +24,10 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 use tokio_util::sync::CancellationToken;
 
-/// Time between looks at claims, limits and evictions.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval of the checks of claims, time limits, evictions and checkpoints.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the owner works with.
+/// Settings of the owner thread, and its channels to the other threads.
 #[derive(Debug, Clone)]
 pub(crate) struct Context {
     pub(crate) vm: Vm,
@@ -42,47 +42,47 @@
     pub(crate) journal: flume::Sender<Command>,
     pub(crate) dispatch: dispatch::Client,
     pub(crate) metrics: Metrics,
-    /// Cancelled when this VM hands its shards over.
+    /// Cancelled when this VM is to hand over all its shards.
     pub(crate) leaving: CancellationToken,
 }
 
-/// One shard of a stream that this VM follows.
+/// State of one shard, as read from its stream.
 #[derive(Debug, Default)]
 #[expect(clippy::struct_excessive_bools, reason = "independent facts")]
-pub(super) struct Held {
+pub(super) struct ShardState {
     pub(super) ledger: Ledger,
     pub(super) table: Table,
-    /// The epoch of this VM's claim while it is the newest.
+    /// Epoch of this VM's claim; `None` if this VM does not own the shard.
     pub(super) epoch: Option<Epoch>,
-    /// The first of this VM's claims since when no other has held the shard.
-    pub(super) since: Epoch,
-    /// The log has trimmed records of the shard that were not read, and no whole set of
-    /// checkpoints has been read since.
+    /// Epoch of this VM's first claim since another VM last owned the shard.
+    pub(super) owned_since: Epoch,
+    /// The log has trimmed records of the shard that were not read, and no complete checkpoint was read
+    /// since.
     pub(super) gap: bool,
-    /// Claims that were left to VMs that may have no gap.
-    pub(super) left: u32,
-    /// The shard can be read whole from this offset on.
-    pub(super) base: Offset,
-    /// Checkpoints of the shard are under way.
-    pub(super) renewing: bool,
-    /// The shard is being handed over: no new run starts.
-    pub(super) leaving: bool,
-    /// The newest holder has released the shard to this VM.
+    /// Claims that were left to other VMs because of the gap.
+    pub(super) skipped_claims: u32,
+    /// Offset from which the shard can be read completely.
+    pub(super) checkpoint_offset: Offset,
+    /// Checkpoints of the shard are being written.
+    pub(super) checkpointing: bool,
+    /// The shard is being handed over: no new call starts.
+    pub(super) releasing: bool,
+    /// The last owner released the shard to this VM.
     pub(super) offered: bool,
 }
 
-/// What reading a record back has told.
+/// Result of an appended record, once it was read back from the log.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Receipt {
-    pub(super) verdict: Verdict,
-    /// When the read that showed it was sent.
+    pub(super) validity: Verdict,
+    /// When the read that returned the record was sent.
     pub(super) asked: Instant,
 }
 
-/// A record on its way into the log and back.
+/// Waits for an appended record to be read back.
 #[derive(Debug)]
 pub(super) struct Waiter {
-    /// The program that it is about.
+    /// The program that the record belongs to.
     pub(super) program: Option<id::Program>,
     receipt: oneshot::Sender<Receipt>,
 }
@@ -90,26 +90,27 @@
 pub(super) struct Owner {
     pub(super) context: Context,
     pub(super) boot: Boot,
-    pub(super) shards: RefCell<BTreeMap<Shard, Held>>,
+    pub(super) shards: RefCell<BTreeMap<Shard, ShardState>>,
+    /// Calls in progress, at most one for each program.
     pub(super) runs: RefCell<HashMap<id::Program, Rc<Run>>>,
-    /// Keys that are being opened, and programs that are being ended or cared for.
-    pub(super) busy: RefCell<HashSet<String>>,
-    /// Rung after each change of a table, a run or a claim.
+    /// Keys of operations in progress, such as `open/{key}`, that must not run twice at a time.
+    pub(super) in_progress: RefCell<HashSet<String>>,
+    /// Notified after each change of a table, a call in progress or an ownership.
     pub(super) changed: Notify,
     pub(super) forecast: RefCell<Forecast>,
     pub(super) engines: backend::Engines,
     pub(super) services: backend::Services,
-    numbers: RefCell<Numbers>,
+    sequences: RefCell<Numbers>,
     pub(super) waiters: RefCell<HashMap<(u64, Sequence), Waiter>>,
-    /// The offset that each stream's next entry has.
-    pub(super) next: RefCell<HashMap<u64, Offset>>,
+    /// Offset of the next entry of each stream.
+    pub(super) next_offsets: RefCell<HashMap<u64, Offset>>,
     pub(super) claimer: RefCell<Claimer>,
 }
 
-/// Serves until the rings are closed or every shard has been handed over.
+/// Runs until a channel is closed or every shard has been handed over.
 pub(crate) async fn run(
     context: Context,
-    asks: flume::Receiver<Envelope>,
+    requests: flume::Receiver<Envelope>,
     events: flume::Receiver<Event>,
     dumps: flume::Receiver<oneshot::Sender<Value>>,
 ) {
@@ -118,28 +119,28 @@
         boot,
         shards: RefCell::default(),
         runs: RefCell::default(),
-        busy: RefCell::default(),
+        in_progress: RefCell::default(),
         changed: Notify::new(),
         forecast: RefCell::default(),
         engines: backend::Engines::new(),
         services: backend::Services::new(),
-        numbers: RefCell::new(Numbers::new(context.streams)),
+        sequences: RefCell::new(Numbers::new(context.streams)),
         waiters: RefCell::default(),
-        next: RefCell::default(),
+        next_offsets: RefCell::default(),
         claimer: RefCell::new(Claimer::new(context.vm.clone(), context.shards)),
         context,
     });
     owner.start().await;
-    let mut tick = interval(TICK);
+    let mut tick = interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            ask = asks.recv_async() => match ask {
-                Ok(ask) => { spawn_local(owner.clone().serve(ask)); }
+            envelope = requests.recv_async() => match envelope {
+                Ok(envelope) => { spawn_local(owner.clone().serve(envelope)); }
                 Err(_) => return,
             },
             event = events.recv_async() => match event {
-                Ok(event) => owner.take(event),
+                Ok(event) => owner.handle_event(event),
                 Err(_) => return,
             },
             dump = dumps.recv_async() => match dump {
@@ -148,14 +149,14 @@
             },
             _ = tick.tick() => {
                 if owner.context.leaving.is_cancelled() {
-                    if owner.release() {
+                    if owner.release_shards() {
                         return;
                     }
                 } else {
-                    owner.claim();
+                    owner.claim_shards();
                 }
-                owner.care();
-                owner.renew();
+                owner.start_due_steps();
+                owner.renew_oldest_claim();
             }
         }
     }
@@ -164,9 +165,9 @@
 impl Owner {
     async fn start(&self) {
         let boot = self.boot;
-        self.context.announcement.send_modify(|beat| {
-            beat.boot = boot;
-            beat.held.clear();
+        self.context.announcement.send_modify(|announcement| {
+            announcement.boot = boot;
+            announcement.held.clear();
         });
         for stream in 0..self.context.streams {
             let _ = self
@@ -177,11 +178,11 @@
         }
     }
 
-    /// Appends a record under `epoch` and waits until it has been read back and judged; gives
-    /// the time at which the read was sent.
+    /// Appends a record under `epoch` and waits until it was read back and validated; returns when that read
+    /// was sent.
     ///
     /// # Errors
-    /// [`Code::NotOwner`] when a newer claim stands before it: it does not count.
+    /// [`Code::NotOwner`] if a newer claim precedes the record, which is then void.
     pub(super) async fn append(
         &self,
         shard: Shard,
@@ -189,12 +190,11 @@
         body: Body,
     ) -> Result<Instant, Failure> {
         loop {
-            let wait = self.push(shard, epoch, body.clone())?;
-            match wait.await.map(|receipt| (receipt.verdict, receipt.asked)) {
+            let wait = self.submit(shard, epoch, body.clone())?;
+            match wait.await.map(|receipt| (receipt.validity, receipt.asked)) {
                 Ok((Verdict::Valid | Verdict::Claimed(_), asked)) => return Ok(asked),
-                // Written just before this VM's own renewed claim: it counts for nobody, and is
-                // written again under the new epoch.
-                Ok((Verdict::Void, _)) if self.holds(shard, epoch) => {}
+                // Overtaken by this VM's own renewed claim: written again under the new epoch.
+                Ok((Verdict::Void, _)) if self.owns_since(shard, epoch) => {}
                 Ok((Verdict::Void | Verdict::Duplicate, _)) => return Err(not_owner(shard)),
                 Err(_) => {
                     let message = "the owner was restarted";
@@ -204,9 +204,9 @@
         }
     }
 
-    /// As [`Owner::append`], for a record that has to follow what was done: a full queue is
-    /// waited for. Given up, the outcome of a call that ran would be lost.
-    pub(super) async fn append_surely(
+    /// As [`Owner::append`], but waits while the journal's queue is full: used where giving up would lose the
+    /// outcome of a call that ran.
+    pub(super) async fn append_retrying(
         &self,
         shard: Shard,
         epoch: Epoch,
@@ -214,22 +214,21 @@
     ) -> Result<Instant, Failure> {
         loop {
             match self.append(shard, epoch, body.clone()).await {
-                Err(failure) if failure.code == Code::RingFull => sleep(TICK).await,
+                Err(failure) if failure.code == Code::RingFull => sleep(TICK_INTERVAL).await,
                 appended => return appended,
             }
         }
     }
 
-    /// Whether the journal's queue has room for so many records.
-    pub(super) fn has_room(&self, records: usize) -> bool {
+    pub(super) fn journal_has_room(&self, records: usize) -> bool {
         let journal = &self.context.journal;
         journal
             .capacity()
-            .is_none_or(|most| journal.len() + records <= most)
+            .is_none_or(|capacity| journal.len() + records <= capacity)
     }
 
-    /// Hands a record to the journal; the receiver gets the verdict once it is read back.
-    pub(super) fn push(
+    /// Queues a record for the journal; the receiver gets the result once the record is read back.
+    pub(super) fn submit(
         &self,
         shard: Shard,
         epoch: Epoch,
@@ -237,12 +236,12 @@
     ) -> Result<oneshot::Receiver<Receipt>, Failure> {
         let stream = stream_of(shard, self.context.streams);
         let program = body.program();
-        let epoch = if self.holds(shard, epoch) {
-            self.epoch(shard)?
+        let epoch = if self.owns_since(shard, epoch) {
+            self.owned_epoch(shard)?
         } else {
             epoch
         };
-        let sequence = self.numbers.borrow_mut().next(stream);
+        let sequence = self.sequences.borrow_mut().next(stream);
         let id = Id {
             vm: self.context.vm.clone(),
             boot: self.boot,
@@ -271,98 +270,98 @@
         Ok(wait)
     }
 
-    /// The epoch under which this VM owns `shard`.
+    /// Epoch under which this VM owns `shard`.
     ///
     /// # Errors
-    /// [`Code::NotOwner`] when it doesn't.
-    pub(super) fn epoch(&self, shard: Shard) -> Result<Epoch, Failure> {
+    /// [`Code::NotOwner`] if it doesn't; [`Code::HistoryGap`] if it owns it without having read all records.
+    pub(super) fn owned_epoch(&self, shard: Shard) -> Result<Epoch, Failure> {
         let shards = self.shards.borrow();
-        let held = shards.get(&shard).ok_or_else(|| not_owner(shard))?;
-        let epoch = held.epoch.ok_or_else(|| not_owner(shard))?;
-        if held.gap {
+        let state = shards.get(&shard).ok_or_else(|| not_owner(shard))?;
+        let epoch = state.epoch.ok_or_else(|| not_owner(shard))?;
+        if state.gap {
             let message = format!("the log has trimmed records of shard {shard}");
             return Err(Failure::refused(Code::HistoryGap, message).ran(Ran::Unknown));
         }
         Ok(epoch)
     }
 
-    /// Whether this VM has owned `shard` without a break since its claim at `epoch`.
-    pub(super) fn holds(&self, shard: Shard, epoch: Epoch) -> bool {
+    /// Whether this VM has owned `shard` without interruption since its claim at `epoch`.
+    pub(super) fn owns_since(&self, shard: Shard, epoch: Epoch) -> bool {
         let shards = self.shards.borrow();
-        let held = shards.get(&shard);
-        held.is_some_and(|held| held.epoch.is_some() && !held.gap && held.since <= epoch)
+        let state = shards.get(&shard);
+        state.is_some_and(|state| state.epoch.is_some() && !state.gap && state.owned_since <= epoch)
     }
 
-    fn take(self: &Rc<Self>, event: Event) {
+    fn handle_event(self: &Rc<Self>, event: Event) {
         match event {
             Event::Page {
                 stream,
                 entries,
                 asked,
             } => {
-                // Verdicts are told after the whole page: one that waits for its record learns of
-                // a newer claim that was read with it.
-                let mut told = Vec::new();
+                // Waiters are notified after the whole page was applied, so that they see a newer claim
+                // that was read with their record.
+                let mut results = Vec::new();
                 for (offset, records) in entries {
-                    if self.follows(stream, offset) {
-                        told.extend(self.fold_entry(stream, offset, &records));
+                    if self.is_next_entry(stream, offset) {
+                        results.extend(self.apply_entry(stream, offset, &records));
                     }
                 }
-                for (waiter, verdict) in told {
-                    let _ = waiter.receipt.send(Receipt { verdict, asked });
+                for (waiter, validity) in results {
+                    let _ = waiter.receipt.send(Receipt { validity, asked });
                 }
             }
             Event::Trimmed { stream, first } => {
                 event!(warn, "journal_trimmed", stream = stream, first = first);
-                self.next.borrow_mut().insert(stream, first);
-                self.forget(stream);
+                self.next_offsets.borrow_mut().insert(stream, first);
+                self.reset_stream(stream);
             }
         }
         self.changed.notify_waiters();
     }
 
-    /// Whether this entry is the next of its stream.
+    /// Whether this entry is the next one of its stream.
     ///
-    /// An owner that was restarted finds entries in the ring that were read for the one before.
-    /// Folded ahead of the older ones, they would make those look like copies: history lost.
-    fn follows(&self, stream: u64, offset: Offset) -> bool {
-        let mut next = self.next.borrow_mut();
-        let next = next.entry(stream).or_default();
-        let follows = offset == *next;
-        if follows {
+    /// After a restart of the owner thread, its channel may still hold later entries that were read for the
+    /// previous one. Applied first, they would make the earlier entries look like duplicates.
+    fn is_next_entry(&self, stream: u64, offset: Offset) -> bool {
+        let mut next_offsets = self.next_offsets.borrow_mut();
+        let next = next_offsets.entry(stream).or_default();
+        let is_next = offset == *next;
+        if is_next {
             next.0 += 1;
         }
-        follows
+        is_next
     }
 
-    fn fold_entry(
+    fn apply_entry(
         self: &Rc<Self>,
         stream: u64,
         offset: Offset,
         records: &[Record],
     ) -> Vec<(Waiter, Verdict)> {
-        let fold = |(index, record): (usize, &Record)| {
-            let verdict = self.fold(offset, index, record);
-            let mine = record.id.boot == self.boot && record.id.vm == self.context.vm;
+        let apply = |(index, record): (usize, &Record)| {
+            let validity = self.apply_record(offset, index, record);
+            let own_record = record.id.boot == self.boot && record.id.vm == self.context.vm;
             let waiters = &mut self.waiters.borrow_mut();
-            let waiter = mine.then(|| waiters.remove(&(stream, record.id.sequence)))?;
-            Some((waiter?, verdict))
+            let waiter = own_record.then(|| waiters.remove(&(stream, record.id.sequence)))?;
+            Some((waiter?, validity))
         };
-        records.iter().enumerate().filter_map(fold).collect()
+        records.iter().enumerate().filter_map(apply).collect()
     }
 
-    /// Drops what is known of the shards of a stream: it misses records.
-    fn forget(&self, stream: u64) {
+    /// Resets the shards of a stream after the log trimmed records that were not read.
+    fn reset_stream(&self, stream: u64) {
         let shards = (0..self.context.shards).map(Shard);
         for shard in shards.filter(|shard| stream_of(*shard, self.context.streams) == stream) {
-            let gap = Held {
+            let reset = ShardState {
                 gap: true,
-                ..Held::default()
+                ..ShardState::default()
             };
-            self.shards.borrow_mut().insert(shard, gap);
+            self.shards.borrow_mut().insert(shard, reset);
             self.cancel_runs(shard);
         }
-        self.publish();
+        self.announce_owned();
     }
 
     fn cancel_runs(&self, shard: Shard) {
@@ -372,49 +371,49 @@
         }
     }
 
-    fn fold(self: &Rc<Self>, offset: Offset, index: usize, record: &Record) -> Verdict {
+    fn apply_record(self: &Rc<Self>, offset: Offset, index: usize, record: &Record) -> Verdict {
         let shard = record.shard;
-        let mine = record.id.boot == self.boot && record.id.vm == self.context.vm;
-        let verdict = {
+        let own_record = record.id.boot == self.boot && record.id.vm == self.context.vm;
+        let validity = {
             let mut shards = self.shards.borrow_mut();
-            let held = shards.entry(shard).or_default();
-            let verdict = held.ledger.judge(offset, index, record);
-            match verdict {
+            let state = shards.entry(shard).or_default();
+            let validity = state.ledger.judge(offset, index, record);
+            match validity {
                 Verdict::Valid => {
-                    held.table.apply(&record.body);
+                    state.table.apply(&record.body);
                     if matches!(record.body, Body::Checkpointed) {
-                        held.gap = false;
-                        held.base = record.epoch.offset();
+                        state.gap = false;
+                        state.checkpoint_offset = record.epoch.offset();
                     }
                 }
                 Verdict::Claimed(epoch) => {
-                    if !(mine && held.epoch.is_some()) {
-                        held.since = epoch;
-                        held.renewing = false;
+                    if !(own_record && state.epoch.is_some()) {
+                        state.owned_since = epoch;
+                        state.checkpointing = false;
                     }
-                    held.epoch = mine.then_some(epoch);
-                    held.offered = false;
+                    state.epoch = own_record.then_some(epoch);
+                    state.offered = false;
                 }
                 Verdict::Void | Verdict::Duplicate => {}
             }
-            if verdict == Verdict::Valid
+            if validity == Verdict::Valid
                 && let Body::Release { successor } = &record.body
             {
-                held.epoch = None;
-                held.offered = successor.as_ref() == Some(&self.context.vm);
+                state.epoch = None;
+                state.offered = successor.as_ref() == Some(&self.context.vm);
             }
-            verdict
+            validity
         };
-        if let Verdict::Claimed(epoch) = verdict {
-            self.claimed(shard, epoch, mine, &record.id.vm);
+        if let Verdict::Claimed(epoch) = validity {
+            self.handle_claim(shard, epoch, own_record, &record.id.vm);
         }
-        if verdict == Verdict::Valid && matches!(record.body, Body::Release { .. }) {
-            self.publish();
+        if validity == Verdict::Valid && matches!(record.body, Body::Release { .. }) {
+            self.announce_owned();
         }
-        verdict
+        validity
     }
 
-    fn claimed(self: &Rc<Self>, shard: Shard, epoch: Epoch, mine: bool, by: &Vm) {
+    fn handle_claim(self: &Rc<Self>, shard: Shard, epoch: Epoch, own_record: bool, by: &Vm) {
         event!(
             info,
             "shard_claimed",
@@ -423,29 +422,30 @@
             epoch = epoch,
             by = by
         );
-        if mine {
+        if own_record {
             self.context.metrics.claims.add(1, &[]);
-            self.care();
-            self.renewed(shard, epoch);
+            self.start_due_steps();
+            self.start_checkpoint(shard, epoch);
         } else {
             self.cancel_runs(shard);
         }
-        self.publish();
+        self.announce_owned();
     }
 
-    fn publish(&self) {
-        let held = self.shards.borrow();
-        let held = held
+    /// Announces the owned shards to the other VMs.
+    fn announce_owned(&self) {
+        let shards = self.shards.borrow();
+        let owned = shards
             .iter()
-            .filter_map(|(shard, held)| Some((*shard, held.epoch?)));
-        let held: Vec<(Shard, Epoch)> = held.collect();
+            .filter_map(|(shard, state)| Some((*shard, state.epoch?)));
+        let owned: Vec<(Shard, Epoch)> = owned.collect();
         self.context
             .announcement
-            .send_modify(|beat| beat.held = held);
+            .send_modify(|announcement| announcement.held = owned);
     }
 }
 
-/// The failure that sends an entry to look for the owner elsewhere.
+/// Makes the sender of the request look for the owner on another VM.
 pub(super) fn not_owner(shard: Shard) -> Failure {
     Failure::refused(
         Code::NotOwner,
--- a/src/owner/maintenance.rs
+++ b/src/owner/maintenance.rs
@@ -1,4 +1,4 @@
-//! What an owner does unasked: evictions, limits in time, forgetting, open intents.
+//! Background work for owned shards: evictions, time limits, removal of ended programs, and open intents.
 
 use super::duty::Owner;
 use crate::clock::wall_ms;
@@ -11,10 +11,10 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// Steps of care that one tick starts at most.
-const STEPS: usize = 64;
+/// Most steps that one tick starts.
+const MAX_STEPS_PER_TICK: usize = 64;
 
-/// One thing to do for a program.
+/// A background step for one program.
 enum Step {
     Evict(Program, Server, Option<SocketAddr>),
     Expire(Program),
@@ -23,39 +23,39 @@
 }
 
 impl Owner {
-    /// Starts what is due for the shards that this VM owns.
-    pub(super) fn care(self: &Rc<Self>) {
-        for (shard, epoch, step) in self.due() {
-            let gate = match &step {
+    /// Starts the steps that are due for the shards that this VM owns.
+    pub(super) fn start_due_steps(self: &Rc<Self>) {
+        for (shard, epoch, step) in self.due_steps() {
+            let key = match &step {
                 Step::Evict(program, server, _) => format!("evict/{program}/{server}"),
                 Step::Expire(program) => format!("expire/{program}"),
                 Step::Forget(program) => format!("forget/{program}"),
                 Step::Settle(program, _) => format!("settle/{program}"),
             };
-            if !self.busy.borrow_mut().insert(gate.clone()) {
+            if !self.in_progress.borrow_mut().insert(key.clone()) {
                 continue;
             }
             let owner = self.clone();
             spawn_local(async move {
-                owner.step(shard, epoch, step).await;
-                owner.busy.borrow_mut().remove(&gate);
+                owner.run_step(shard, epoch, step).await;
+                owner.in_progress.borrow_mut().remove(&key);
             });
         }
     }
 
-    fn due(&self) -> Vec<(Shard, Epoch, Step)> {
+    fn due_steps(&self) -> Vec<(Shard, Epoch, Step)> {
         let now = wall_ms();
         let shards = self.shards.borrow();
         let mut due = Vec::new();
-        for (shard, held) in shards.iter() {
-            let Some(epoch) = held.epoch.filter(|_| !held.leaving) else {
+        for (shard, state) in shards.iter() {
+            let Some(epoch) = state.epoch.filter(|_| !state.releasing) else {
                 continue;
             };
-            for program in held.table.iter() {
-                for step in self.steps(program, now) {
+            for program in state.table.iter() {
+                for step in self.steps_for(program, now) {
                     due.push((*shard, epoch, step));
                 }
-                if due.len() >= STEPS {
+                if due.len() >= MAX_STEPS_PER_TICK {
                     return due;
                 }
             }
@@ -63,7 +63,7 @@
         due
     }
 
-    fn steps(&self, program: &program::Program, now: u64) -> Vec<Step> {
+    fn steps_for(&self, program: &program::Program, now: u64) -> Vec<Step> {
         if let Some(intent) = &program.intent
             && !program.is_ended()
             && !self.runs.borrow().contains_key(&program.id)
@@ -74,8 +74,8 @@
         let class = config.class(&program.class).ok();
         let Some(ended) = program.ended_ms else {
             let limit = class.map_or(u64::MAX, |class| class.limit_ms);
-            let late = now.saturating_sub(program.opened_ms) > limit;
-            return if late {
+            let overdue = now.saturating_sub(program.opened_ms) > limit;
+            return if overdue {
                 vec![Step::Expire(program.id)]
             } else {
                 Vec::new()
@@ -83,14 +83,14 @@
         };
         if program.resident.is_empty() {
             let keep = class.map_or(0, |class| class.keep_ms);
-            let over = now.saturating_sub(ended) > keep;
-            return if over {
+            let expired = now.saturating_sub(ended) > keep;
+            return if expired {
                 vec![Step::Forget(program.id)]
             } else {
                 Vec::new()
             };
         }
-        let find = |server: &Server| {
+        let address_of = |server: &Server| {
             let mut engines = config.pools.values().flat_map(|pool| &pool.engines);
             engines
                 .find(|engine| engine.name == *server)
@@ -98,11 +98,11 @@
         };
         let servers = program.resident.iter();
         servers
-            .map(|server| Step::Evict(program.id, server.clone(), find(server)))
+            .map(|server| Step::Evict(program.id, server.clone(), address_of(server)))
             .collect()
     }
 
-    async fn step(self: &Rc<Self>, shard: Shard, epoch: Epoch, step: Step) {
+    async fn run_step(self: &Rc<Self>, shard: Shard, epoch: Epoch, step: Step) {
         let body = match step {
             Step::Expire(program) => {
                 event!(warn, "program_expired", program = program);
@@ -110,9 +110,9 @@
                 return;
             }
             Step::Forget(program) => Body::Forgotten { program },
-            Step::Settle(program, intent) => unknown(program, intent),
+            Step::Settle(program, intent) => unknown_outcome(program, intent),
             Step::Evict(program, server, address) => {
-                // An engine that is no longer configured holds nothing that could be asked for.
+                // A server that is no longer configured can't be asked to evict.
                 if let Some(address) = address
                     && let Err(fault) = self.engines.evict(address, &program.to_string()).await
                 {
@@ -134,11 +134,11 @@
     }
 }
 
-/// The outcome of a call that a former owner had sent or was about to send: unknown.
+/// Record of an unknown outcome for a call whose intent a previous owner left open.
 ///
-/// The former owner may have died before sending, or after the effect; from the log alone both
-/// look alike, so the call is never sent again.
-fn unknown(program: Program, intent: Intent) -> Body {
+/// The log does not show whether the previous owner failed before or after it sent the call, so the call is
+/// never sent again.
+fn unknown_outcome(program: Program, intent: Intent) -> Body {
     let Intent {
         call,
         digest,
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -1,4 +1,4 @@
-//! The owner of shards: runs the calls of programs in order and journals them.
+//! Owner of shards: runs the calls of programs in order and records them in the log.
 
 mod checkpoint;
 mod claim;
@@ -21,50 +21,50 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// A place in the stream of an answer.
+/// A position in the stream of an answer.
 ///
-/// Each attempt at an answer has a stream of its own: an engine gives other words to the same
-/// prompt, and the rest of one attempt behind the start of another would be nobody's answer.
+/// Each attempt has a stream of its own: engines answer the same prompt differently, so parts of two attempts
+/// must not be mixed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Position {
-    /// Tells the attempts at an answer apart.
+    /// Random id of the attempt.
     pub(crate) stream: u32,
-    /// How many parts of it the reader has.
+    /// Index of the next part.
     pub(crate) at: u64,
 }
 
-/// What a caller asks, as the entry hands it to the owner.
+/// A request of a caller, sent by the VM that received it to the owner of the shard.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub(crate) enum Request {
-    /// Open a program, once per key.
+    /// Opens a program, once per key.
     Open {
         key: String,
         class: Class,
         budget: Budget,
     },
-    /// Run a call, or give its kept answer; frames from position `from` on.
+    /// Runs a call, or returns its stored answer; streams from position `from` on.
     Call {
         program: Program,
         call: Call,
         request: program::Request,
         from: Position,
     },
-    /// Give a call's answer, or the rest of its stream from position `from` on.
+    /// Returns the stored answer of a call, or streams it from position `from` on if it is running.
     Read {
         program: Program,
         call: Call,
         from: Position,
     },
-    /// End a program.
+    /// Ends a program.
     End { program: Program },
-    /// Tell the state of a program.
+    /// Returns the state of a program.
     Look { program: Program },
 }
 
 impl Request {
-    /// The shard whose owner answers.
+    /// The shard whose owner handles the request.
     pub(crate) fn shard(&self, shards: u64) -> Shard {
         match self {
             Self::Open { key, .. } => shard_of(key, shards),
@@ -76,24 +76,25 @@
     }
 }
 
-/// A part of the answer.
+/// One message of the response to a [`Request`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub(crate) enum Frame {
-    /// Text, and its place among the parts of the answer.
+    /// Text of the answer, and its position.
     Delta { at: Position, text: String },
-    /// The text so far is void: the call runs again and the answer starts anew.
+    /// The text so far is to be discarded: the call runs again and the answer starts over.
     Restart,
     /// The final answer.
     Final(serde_json::Value),
-    /// The final refusal or fault.
+    /// The request failed.
     Failed(Failure),
 }
 
-/// A request on its way to the owner.
+/// A request in the queue of the owner thread, with its response channel.
 #[derive(Debug)]
 pub(crate) struct Envelope {
     pub(crate) request: Request,
     pub(crate) frames: mpsc::Sender<Frame>,
+    /// Until when the caller waits.
     pub(crate) deadline: Instant,
 }
--- a/src/owner/model.rs
+++ b/src/owner/model.rs
@@ -1,7 +1,7 @@
-//! A model call: its reserve in the log, its stream, its settlement.
+//! Runs a model call: records the reservation, streams the answer, records the result.
 
 use super::duty::{Owner, not_owner};
-use super::run::Work;
+use super::run::Job;
 use crate::backend;
 use crate::code::{Code, Failure, Ran};
 use crate::dispatch::{Key, Lease};
@@ -16,10 +16,10 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Engines that one model call may be tried on.
-const ATTEMPTS: usize = 3;
+/// Most engines that one model call is tried on.
+const MAX_ATTEMPTS: usize = 3;
 
-enum Broken {
+enum StreamError {
     Cancelled,
     Failed(String),
 }
@@ -27,10 +27,10 @@
 impl Owner {
     pub(super) async fn run_model(
         self: &Rc<Self>,
-        work: &Work,
+        job: &Job,
         prompt: Prompt,
     ) -> Result<Answer, Failure> {
-        let run = &work.run;
+        let run = &job.run;
         let pool = self
             .context
             .config
@@ -40,29 +40,29 @@
         let key = Key::Model(pool.model.clone());
         let mut avoid = Vec::new();
         loop {
-            let (reserve, ask, chat) = self.prepare(work, &prompt, &pool.model, &avoid)?;
+            let (reserve, request, chat) = self.prepare(job, &prompt, &pool.model, &avoid)?;
             run.stage.set("permit");
-            let lease = self.permit(work, &key, &ask).await?;
+            let lease = self.acquire_permit(job, &key, &request).await?;
             let server = lease.grant.server.clone();
             run.stage.set("journal_begun");
-            // In the log before anything is sent: a successor then knows what the attempt may
-            // have spent and which engine may hold cache.
+            // Recorded before anything is sent, so that a successor knows what the attempt may have spent
+            // and which engine may cache the program's prompt.
             let begun = Body::Begun {
                 program: run.program,
                 call: run.call,
                 reserve,
                 server: server.clone(),
             };
-            self.recorded(work, begun).await?;
-            if self.is_leaving(&server) {
-                // The permit is older than the news; nothing was sent, so it is given back.
+            self.append_by_deadline(job, begun).await?;
+            if self.is_draining(&server) {
+                // The server started to drain after the permit was granted; nothing was sent yet.
                 drop(lease);
-                self.settled(work, Tokens(0)).await?;
+                self.settle(job, Tokens(0)).await?;
                 avoid.push(server);
                 continue;
             }
             run.stage.set("stream");
-            match self.stream(work, lease, &chat).await {
+            match self.stream(job, lease, &chat).await {
                 Ok((text, usage)) => {
                     run.stage.set("journal_done");
                     let answer = Answer::Model {
@@ -70,52 +70,52 @@
                         usage,
                         server,
                     };
-                    return self.finish(work, prompt.messages, answer).await;
+                    return self.record_answer(job, prompt.messages, answer).await;
                 }
-                Err(Broken::Cancelled) => return Err(self.cancelled(work)),
-                Err(Broken::Failed(reason)) => {
+                Err(StreamError::Cancelled) => return Err(self.cancellation_failure(job)),
+                Err(StreamError::Failed(reason)) => {
                     event!(warn, "engine_failed", server = server, reason = reason);
-                    // The engine may have gone on behind what reached us, up to its bound.
-                    self.settled(work, reserve).await?;
+                    // The engine may have generated more than was received, up to `max_tokens`.
+                    self.settle(job, reserve).await?;
                     avoid.push(server);
-                    if avoid.len() >= ATTEMPTS {
+                    if avoid.len() >= MAX_ATTEMPTS {
                         return Err(Failure::refused(Code::EngineFailed, reason)
                             .ran(Ran::Yes)
                             .retry_after(Duration::from_secs(1)));
                     }
-                    run.restart();
+                    run.restart_stream();
                 }
             }
         }
     }
 
-    async fn settled(&self, work: &Work, tokens: Tokens) -> Result<(), Failure> {
-        let (program, call) = (work.run.program, work.run.call);
+    async fn settle(&self, job: &Job, tokens: Tokens) -> Result<(), Failure> {
+        let (program, call) = (job.run.program, job.run.call);
         let body = Body::Settled {
             program,
             call,
             tokens,
         };
-        self.recorded(work, body).await.map(|_| ())
+        self.append_by_deadline(job, body).await.map(|_| ())
     }
 
-    fn is_leaving(&self, server: &Server) -> bool {
+    fn is_draining(&self, server: &Server) -> bool {
         self.context.view.borrow().leaving.contains(server)
     }
 
     fn prepare(
         &self,
-        work: &Work,
+        job: &Job,
         prompt: &Prompt,
         model: &crate::id::Model,
         avoid: &[Server],
     ) -> Result<(Tokens, Request, backend::Chat), Failure> {
-        let id = work.run.program;
+        let id = job.run.program;
         let shards = self.shards.borrow();
-        let held = shards
+        let state = shards
             .get(&id.shard())
             .ok_or_else(|| not_owner(id.shard()))?;
-        let program = held.table.get(id)?;
+        let program = state.table.get(id)?;
         let reserve = program.reserve(&prompt.messages, prompt.max_tokens)?;
         let messages: Vec<Message> = program
             .history
@@ -123,9 +123,9 @@
             .chain(&prompt.messages)
             .cloned()
             .collect();
-        let urgency = self.urgency(program, &work.class);
+        let urgency = self.urgency(program, &job.class);
         let bytes: usize = messages.iter().map(|message| message.content.len()).sum();
-        let ask = Request {
+        let request = Request {
             program: id,
             class: Some(program.class.clone()),
             slack_ms: urgency.slack_ms,
@@ -142,46 +142,46 @@
             max_tokens: prompt.max_tokens,
             key: id.to_string(),
         };
-        Ok((reserve, ask, chat))
+        Ok((reserve, request, chat))
     }
 
     async fn stream(
         &self,
-        work: &Work,
+        job: &Job,
         lease: Lease,
         chat: &backend::Chat,
-    ) -> Result<(Arc<str>, Usage), Broken> {
-        let run = &work.run;
+    ) -> Result<(Arc<str>, Usage), StreamError> {
+        let run = &job.run;
         run.sent.set(true);
         let sent = Instant::now();
-        let first = Cell::new(None);
-        let count = Cell::new(0);
-        let streamed = {
-            let take = |text: Arc<str>| {
-                first.set(first.get().or_else(|| Some(Instant::now())));
-                count.set(count.get() + 1);
-                run.push(text);
+        let first_delta = Cell::new(None);
+        let delta_count = Cell::new(0);
+        let result = {
+            let on_delta = |text: Arc<str>| {
+                first_delta.set(first_delta.get().or_else(|| Some(Instant::now())));
+                delta_count.set(delta_count.get() + 1);
+                run.push_delta(text);
             };
-            let streaming = self.engines.complete(lease.grant.address, chat, take);
+            let stream = self.engines.complete(lease.grant.address, chat, on_delta);
             tokio::select! {
-                streamed = timeout_at(work.until, streaming) => {
-                    streamed.unwrap_or_else(|_| Err(backend::Fault("the deadline passed".into())))
+                result = timeout_at(job.deadline, stream) => {
+                    result.unwrap_or_else(|_| Err(backend::Fault("the deadline passed".into())))
                 }
-                // Dropping the request closes the connection, which the engine takes as cancel.
-                () = run.cancel.cancelled() => return Err(Broken::Cancelled),
+                // Dropping the request closes the connection, which makes the engine cancel it.
+                () = run.cancel.cancelled() => return Err(StreamError::Cancelled),
             }
         };
-        let first = first.get().unwrap_or_else(Instant::now);
+        let first_delta = first_delta.get().unwrap_or_else(Instant::now);
         let mut outcome = Outcome {
-            failed: streamed.is_err(),
-            first_ms: (first - sent).as_secs_f64() * 1000.0,
-            rest_ms: first.elapsed().as_secs_f64() * 1000.0,
-            completion: Tokens(count.get()),
+            failed: result.is_err(),
+            first_ms: (first_delta - sent).as_secs_f64() * 1000.0,
+            rest_ms: first_delta.elapsed().as_secs_f64() * 1000.0,
+            completion: Tokens(delta_count.get()),
             ..Outcome::default()
         };
-        let usage = streamed.map(|usage| {
-            // An engine may give more than was asked for; the stream was cut at the bound, and
-            // what counts is what was taken.
+        let usage = result.map(|usage| {
+            // An engine may generate more than `max_tokens`; the stream was cut off there, and only the
+            // tokens received count.
             Usage {
                 completion: Tokens(usage.completion.0.min(chat.max_tokens.0)),
                 ..usage
@@ -190,16 +190,16 @@
         if let Ok(usage) = &usage {
             outcome.prompt = usage.prompt;
             outcome.cached = usage.cached;
-            let fresh = usage.prompt.0.saturating_sub(usage.cached.0);
+            let uncached = usage.prompt.0.saturating_sub(usage.cached.0);
             let mut forecast = self.forecast.borrow_mut();
             forecast.set_rates(lease.grant.rates);
-            let (now, made) = (Instant::now(), usage.completion.0);
-            forecast.record_answer(now, run.program, now - sent, fresh, made);
+            let (now, generated) = (Instant::now(), usage.completion.0);
+            forecast.record_answer(now, run.program, now - sent, uncached, generated);
         }
         lease.done(outcome).await;
         match usage {
             Ok(usage) => Ok((run.deltas.borrow().concat().into(), usage)),
-            Err(backend::Fault(reason)) => Err(Broken::Failed(reason)),
+            Err(backend::Fault(reason)) => Err(StreamError::Failed(reason)),
         }
     }
 }
--- a/src/owner/run.rs
+++ b/src/owner/run.rs
@@ -1,7 +1,7 @@
-//! One call under way: its permit, its records, its stream and its result.
+//! A call in progress: its permit, records, stream and result.
 
 use super::duty::{Owner, not_owner};
-use super::serve::passed;
+use super::serve::deadline_passed;
 use super::{Frame, Position};
 use crate::code::{Code, Failure, Ran};
 use crate::config::Class;
@@ -21,32 +21,35 @@
 use tokio::time::{Instant, timeout_at};
 use tokio_util::sync::CancellationToken;
 
-/// One call under way.
+/// A call in progress, shared with the requests that wait for it.
 #[derive(Debug)]
 pub(super) struct Run {
     pub(super) program: Program,
     pub(super) call: Call,
     pub(super) digest: Digest,
-    /// Cancelled when the program ends or the shard has another owner.
+    /// Cancelled when the program ends or another VM takes the shard over.
     pub(super) cancel: CancellationToken,
+    /// Parts of the answer received so far in this attempt.
     pub(super) deltas: RefCell<Vec<Arc<str>>>,
     attempt: Cell<usize>,
+    /// Random id of the attempt, see [`Position`].
     stream: Cell<u32>,
+    /// Current step, as shown to operators.
     pub(super) stage: Cell<&'static str>,
-    since: Instant,
-    /// Whether a backend server may have got any of it.
+    started_at: Instant,
+    /// Whether a backend server may have received any of the call.
     pub(super) sent: Cell<bool>,
     result: RefCell<Option<Result<Answer, Failure>>>,
     progress: Notify,
 }
 
 impl Run {
-    /// Passes the stream on from a position, then the result.
-    pub(super) async fn attend(
+    /// Streams the answer from a position on, then returns the result.
+    pub(super) async fn follow(
         &self,
         mut from: Position,
         frames: &mpsc::Sender<Frame>,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Value, Failure> {
         loop {
             let progress = self.progress.notified();
@@ -68,46 +71,47 @@
             if let Some(result) = self.result.borrow().as_ref() {
                 return result.clone().and_then(|answer| answer.body(self.call));
             }
-            if timeout_at(until, progress).await.is_err() {
-                return Err(passed(Ran::Unknown));
+            if timeout_at(deadline, progress).await.is_err() {
+                return Err(deadline_passed(Ran::Unknown));
             }
         }
     }
 
-    /// Gives those who wait for the call its result; the first one counts.
-    pub(super) fn tell(&self, result: Result<Answer, Failure>) {
-        let honest = |failure: Failure| {
-            // A later attempt may be refused; the earlier one has reached a server all the same.
-            let no = failure.ran == Ran::No && self.sent.get();
-            if no {
+    /// Sets the result and wakes the requests that wait for it; a second call has no effect.
+    pub(super) fn set_result(&self, result: Result<Answer, Failure>) {
+        let correct_ran = |failure: Failure| {
+            // "Not run" may hold for the last attempt only: an earlier one may have reached a server.
+            let may_have_run = failure.ran == Ran::No && self.sent.get();
+            if may_have_run {
                 failure.ran(Ran::Unknown)
             } else {
                 failure
             }
         };
-        let mut told = self.result.borrow_mut();
-        told.get_or_insert_with(|| result.map_err(honest));
-        drop(told);
+        let mut stored = self.result.borrow_mut();
+        stored.get_or_insert_with(|| result.map_err(correct_ran));
+        drop(stored);
         self.progress.notify_waiters();
     }
 
-    /// What the run does now, for an operator.
+    /// State of the call as shown to operators.
     pub(super) fn state(&self) -> Value {
         json!({
             "call": self.call,
             "stage": self.stage.get(),
-            "for_ms": u64::try_from(self.since.elapsed().as_millis()).unwrap_or(u64::MAX),
+            "for_ms": u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX),
             "attempt": self.attempt.get(),
             "parts": self.deltas.borrow().len(),
         })
     }
 
-    pub(super) fn push(&self, text: Arc<str>) {
+    pub(super) fn push_delta(&self, text: Arc<str>) {
         self.deltas.borrow_mut().push(text);
         self.progress.notify_waiters();
     }
 
-    pub(super) fn restart(&self) {
+    /// Discards the stream for another attempt.
+    pub(super) fn restart_stream(&self) {
         self.deltas.borrow_mut().clear();
         self.attempt.set(self.attempt.get() + 1);
         self.stream.set(rand::random());
@@ -116,23 +120,24 @@
 }
 
 async fn send(frames: &mpsc::Sender<Frame>, frame: Frame) -> Result<(), Failure> {
-    let gone = |_| Failure::refused(Code::DeadlinePassed, "the caller has gone").ran(Ran::Unknown);
-    frames.send(frame).await.map_err(gone)
+    let disconnected =
+        |_| Failure::refused(Code::DeadlinePassed, "the caller disconnected").ran(Ran::Unknown);
+    frames.send(frame).await.map_err(disconnected)
 }
 
-/// What every kind of run needs.
-pub(super) struct Work {
+/// A call in progress with the limits that apply to it.
+pub(super) struct Job {
     pub(super) run: Rc<Run>,
     pub(super) epoch: Epoch,
     pub(super) class: Class,
-    /// The deadline of the request that started the run.
-    pub(super) asked: Instant,
-    /// The deadline of the run, which goes on when its caller has gone.
-    pub(super) until: Instant,
+    /// Deadline of the request that started the call.
+    pub(super) caller_deadline: Instant,
+    /// Deadline of the call, which continues if its caller disconnects.
+    pub(super) deadline: Instant,
 }
 
 impl Owner {
-    /// Starts a call; the run goes on when its caller's connection is lost.
+    /// Starts a call; it continues if its caller disconnects.
     pub(super) fn start_run(
         self: &Rc<Self>,
         program: Program,
@@ -140,7 +145,7 @@
         digest: Digest,
         request: &Request,
         epoch: Epoch,
-        asked_until: Instant,
+        request_deadline: Instant,
     ) {
         let run = Rc::new(Run {
             program,
@@ -151,7 +156,7 @@
             attempt: Cell::new(0),
             stream: Cell::new(rand::random()),
             stage: Cell::new("admission"),
-            since: Instant::now(),
+            started_at: Instant::now(),
             sent: Cell::new(false),
             result: RefCell::new(None),
             progress: Notify::new(),
@@ -159,8 +164,8 @@
         self.runs.borrow_mut().insert(program, run.clone());
         let (owner, request) = (self.clone(), request.clone());
         spawn_local(async move {
-            let result = owner.carry_out(&run, epoch, request, asked_until).await;
-            let elapsed = run.since.elapsed();
+            let result = owner.execute(&run, epoch, request, request_deadline).await;
+            let elapsed = run.started_at.elapsed();
             owner.context.metrics.calls.add(1, &[]);
             owner
                 .context
@@ -176,32 +181,32 @@
                     reason = failure
                 );
             }
-            run.tell(result);
+            run.set_result(result);
             owner.runs.borrow_mut().remove(&program);
             owner.changed.notify_waiters();
         });
     }
 
-    async fn carry_out(
+    async fn execute(
         self: &Rc<Self>,
         run: &Rc<Run>,
         epoch: Epoch,
         request: Request,
-        asked_until: Instant,
+        request_deadline: Instant,
     ) -> Result<Answer, Failure> {
         let class = self.check_limits(run.program)?;
-        let until = asked_until.max(run.since + Duration::from_millis(class.call_ms));
-        let work = Work {
+        let deadline = request_deadline.max(run.started_at + Duration::from_millis(class.call_ms));
+        let job = Job {
             run: run.clone(),
             epoch,
             class,
-            asked: asked_until,
-            until,
+            caller_deadline: request_deadline,
+            deadline,
         };
         match request {
-            Request::Model(prompt) => self.run_model(&work, prompt).await,
-            Request::Service(invocation) => self.run_service(&work, invocation).await,
-            Request::Spawn(spawn) => self.run_spawn(&work, spawn).await,
+            Request::Model(prompt) => self.run_model(&job, prompt).await,
+            Request::Service(invocation) => self.run_service(&job, invocation).await,
+            Request::Spawn(spawn) => self.run_spawn(&job, spawn).await,
         }
     }
 
@@ -209,10 +214,10 @@
     fn check_limits(self: &Rc<Self>, id: Program) -> Result<Class, Failure> {
         let (class, turns, history) = {
             let shards = self.shards.borrow();
-            let held = shards
+            let state = shards
                 .get(&id.shard())
                 .ok_or_else(|| not_owner(id.shard()))?;
-            let program = held.table.get(id)?;
+            let program = state.table.get(id)?;
             let class = self.context.config.borrow().class(&program.class)?.clone();
             (class, program.kept.len() as u64, program.history_bytes())
         };
@@ -223,7 +228,7 @@
         } else {
             return Ok(class);
         };
-        // The program loops or grows without end: it is ended, and what it holds is freed.
+        // A program at a limit may be in an endless loop: end it to free its resources.
         let owner = self.clone();
         spawn_local(async move { owner.end(id, Some(reason)).await });
         Err(Failure::refused(
@@ -232,30 +237,35 @@
         ))
     }
 
-    pub(super) async fn permit(
+    pub(super) async fn acquire_permit(
         &self,
-        work: &Work,
+        job: &Job,
         key: &Key,
-        ask: &policy::Request,
+        request: &policy::Request,
     ) -> Result<Lease, Failure> {
         tokio::select! {
-            lease = self.context.dispatch.acquire(key, ask) => lease,
-            () = work.run.cancel.cancelled() => Err(self.cancelled(work)),
-            () = tokio::time::sleep_until(work.until) => Err(passed(Ran::No)),
+            lease = self.context.dispatch.acquire(key, request) => lease,
+            () = job.run.cancel.cancelled() => Err(self.cancellation_failure(job)),
+            () = tokio::time::sleep_until(job.deadline) => Err(deadline_passed(Ran::No)),
         }
     }
 
-    /// Appends a record of the run and waits for its verdict, up to the deadline.
-    pub(super) async fn recorded(&self, work: &Work, body: Body) -> Result<Instant, Failure> {
-        let append = self.append(work.run.program.shard(), work.epoch, body);
-        timeout_at(work.until, append)
+    /// Appends a record of the call, failing at the deadline of the call.
+    pub(super) async fn append_by_deadline(
+        &self,
+        job: &Job,
+        body: Body,
+    ) -> Result<Instant, Failure> {
+        let append = self.append(job.run.program.shard(), job.epoch, body);
+        timeout_at(job.deadline, append)
             .await
-            .unwrap_or_else(|_| Err(unavailable()))
+            .unwrap_or_else(|_| Err(log_unavailable()))
     }
 
-    pub(super) async fn finish(
+    /// Records the answer, and returns the one that the log has for the call.
+    pub(super) async fn record_answer(
         &self,
-        work: &Work,
+        job: &Job,
         messages: Vec<Message>,
         answer: Answer,
     ) -> Result<Answer, Failure> {
@@ -264,7 +274,7 @@
             call,
             digest,
             ..
-        } = *work.run.as_ref();
+        } = *job.run.as_ref();
         let body = Body::Done {
             program,
             call,
@@ -272,24 +282,24 @@
             messages,
             answer: answer.clone(),
         };
-        self.append_surely(program.shard(), work.epoch, body)
+        self.append_retrying(program.shard(), job.epoch, body)
             .await?;
-        // The caller gets what the history has, so that two answers to one call are never told.
-        self.kept(program, call)
+        // Returned from the applied state, so that all callers get the same answer.
+        self.stored_answer(program, call)
             .map_err(|failure| failure.ran(Ran::Unknown))
     }
 
-    pub(super) fn cancelled(&self, work: &Work) -> Failure {
-        let shard = work.run.program.shard();
-        if self.holds(shard, work.epoch) {
+    pub(super) fn cancellation_failure(&self, job: &Job) -> Failure {
+        let shard = job.run.program.shard();
+        if self.owns_since(shard, job.epoch) {
             return Failure::refused(Code::ProgramEnded, "the program has ended").ran(Ran::Unknown);
         }
         not_owner(shard)
     }
 }
 
-/// The failure when a record is not in the log by the deadline.
-pub(super) fn unavailable() -> Failure {
-    let message = "the log did not take the record in time";
+/// Failure of a record that is not in the log by the deadline.
+pub(super) fn log_unavailable() -> Failure {
+    let message = "the record was not written to the log in time";
     Failure::refused(Code::LogUnavailable, message).retry_after(Duration::from_secs(1))
 }
--- a/src/owner/serve.rs
+++ b/src/owner/serve.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from admission to its final frame.
+//! Handles the requests of callers, from admission to the final frame.
 
 use super::duty::{Owner, not_owner};
 use super::run::Run;
@@ -16,17 +16,17 @@
 use tokio::time::{Instant, timeout_at};
 
 impl Owner {
-    pub(super) async fn serve(self: Rc<Self>, ask: Envelope) {
+    pub(super) async fn serve(self: Rc<Self>, envelope: Envelope) {
         let Envelope {
             request,
             frames,
             deadline,
-        } = ask;
-        let answer = match request {
+        } = envelope;
+        let response = match request {
             Request::Open { key, class, budget } => {
                 let owner = self.clone();
                 let open = async move { owner.open(key, class, budget).await };
-                bounded(deadline, Ran::Unknown, detached(open)).await
+                with_deadline(deadline, Ran::Unknown, detached(open)).await
             }
             Request::Call {
                 program,
@@ -41,15 +41,18 @@
                 program,
                 call,
                 from,
-            } => self.read(program, call, from, &frames, deadline).await,
+            } => {
+                self.read_answer(program, call, from, &frames, deadline)
+                    .await
+            }
             Request::End { program } => {
                 let owner = self.clone();
                 let end = async move { owner.end(program, None).await };
-                bounded(deadline, Ran::Unknown, detached(end)).await
+                with_deadline(deadline, Ran::Unknown, detached(end)).await
             }
-            Request::Look { program } => self.look(program),
+            Request::Look { program } => self.program_state(program),
         };
-        let last = match answer {
+        let last = match response {
             Ok(body) => Frame::Final(body),
             Err(failure) => Frame::Failed(failure),
         };
@@ -59,28 +62,33 @@
     async fn open(&self, key: String, class: Class, budget: Budget) -> Result<Value, Failure> {
         let shard = shard_of(&key, self.context.shards);
         self.context.config.borrow().class(&class)?;
-        let gate = format!("open/{key}");
+        let operation = format!("open/{key}");
         loop {
             let changed = self.changed.notified();
-            let epoch = self.epoch(shard)?;
-            if let Some(opened) = self.opened(&key, &class, budget)? {
+            let epoch = self.owned_epoch(shard)?;
+            if let Some(opened) = self.find_opened(&key, &class, budget)? {
                 return Ok(json!({ "program": opened }));
             }
-            if !self.busy.borrow_mut().insert(gate.clone()) {
+            if !self.in_progress.borrow_mut().insert(operation.clone()) {
                 changed.await;
                 continue;
             }
             let opened = self.open_new(shard, epoch, key, class, budget).await;
-            self.busy.borrow_mut().remove(&gate);
+            self.in_progress.borrow_mut().remove(&operation);
             self.changed.notify_waiters();
             return opened;
         }
     }
 
-    fn opened(&self, key: &str, class: &Class, budget: Budget) -> Result<Option<Program>, Failure> {
+    fn find_opened(
+        &self,
+        key: &str,
+        class: &Class,
+        budget: Budget,
+    ) -> Result<Option<Program>, Failure> {
         let shard = shard_of(key, self.context.shards);
         let shards = self.shards.borrow();
-        let found = shards.get(&shard).and_then(|held| held.table.by_key(key));
+        let found = shards.get(&shard).and_then(|state| state.table.by_key(key));
         let Some(program) = found else {
             return Ok(None);
         };
@@ -89,7 +97,7 @@
         }
         Err(Failure::refused(
             Code::KeyConflict,
-            "the key opened another program",
+            "the key was used to open a program with another class or budget",
         ))
     }
 
@@ -101,18 +109,18 @@
         class: Class,
         budget: Budget,
     ) -> Result<Value, Failure> {
-        let open: usize = self
+        let open_count: usize = self
             .shards
             .borrow()
             .values()
-            .map(|held| held.table.open())
+            .map(|state| state.table.open())
             .sum();
-        if open >= self.context.max_programs {
-            let message = format!("{open} programs are open");
+        if open_count >= self.context.max_programs {
+            let message = format!("{open_count} programs are open");
             return Err(Failure::refused(Code::TooManyPrograms, message)
                 .retry_after(Duration::from_secs(2)));
         }
-        self.gate(&class, open)?;
+        self.check_admission(&class, open_count)?;
         let opened_class = class.clone();
         let program = Program::new(shard, rand::random());
         let body = Body::Opened {
@@ -123,7 +131,7 @@
             at_ms: wall_ms(),
         };
         self.append(shard, epoch, body).await?;
-        self.opened_program(program, &opened_class);
+        self.record_opened(program, &opened_class);
         Ok(json!({ "program": program }))
     }
 
@@ -134,75 +142,79 @@
         request: program::Request,
         from: Position,
         frames: &mpsc::Sender<Frame>,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Value, Failure> {
         let digest = request.digest();
         loop {
             let changed = self.changed.notified();
-            let epoch = self.epoch(id.shard())?;
+            let epoch = self.owned_epoch(id.shard())?;
             match self.admit(id, call, digest)? {
                 Admission::Kept(answer) => return answer.body(call),
                 Admission::Refuse(failure) => return Err(failure),
-                Admission::Run => match self.running(id, call, digest)? {
-                    Some(run) => return run.attend(from, frames, until).await,
-                    None if self.starts(id)? => {
-                        self.start_run(id, call, digest, &request, epoch, until);
+                Admission::Run => match self.find_run(id, call, digest)? {
+                    Some(run) => return run.follow(from, frames, deadline).await,
+                    None if self.can_start(id)? => {
+                        self.start_run(id, call, digest, &request, epoch, deadline);
                     }
-                    None => wait(changed, until, self.may_have_run(id, call)).await?,
+                    None => wait_for_change(changed, deadline, self.may_have_run(id, call)).await?,
                 },
-                Admission::Wait => wait(changed, until, Ran::No).await?,
+                Admission::Wait => wait_for_change(changed, deadline, Ran::No).await?,
             }
         }
     }
 
     fn admit(&self, id: Program, call: Call, digest: Digest) -> Result<Admission, Failure> {
         let shards = self.shards.borrow();
-        let held = shards
+        let state = shards
             .get(&id.shard())
             .ok_or_else(|| not_owner(id.shard()))?;
-        Ok(held.table.get(id)?.admit(call, digest))
+        Ok(state.table.get(id)?.admit(call, digest))
     }
 
-    /// The run of this call, if it is under way.
-    fn running(&self, id: Program, call: Call, digest: Digest) -> Result<Option<Rc<Run>>, Failure> {
+    /// The run of this call, if it is in progress.
+    fn find_run(
+        &self,
+        id: Program,
+        call: Call,
+        digest: Digest,
+    ) -> Result<Option<Rc<Run>>, Failure> {
         let runs = self.runs.borrow();
         let Some(run) = runs.get(&id) else {
             return Ok(None);
         };
         if run.call == call && run.digest != digest {
-            let message = format!("call {call} is running with another body");
+            let message = format!("call {call} is running with a different body");
             return Err(Failure::refused(Code::CallConflict, message));
         }
         Ok((run.call == call).then(|| run.clone()))
     }
 
-    /// Whether a new run may start: the shard stays here and nothing of the program is under way.
+    /// Whether a new run may start: the shard is not being handed over, and no call of the program is in progress.
     ///
-    /// An open intent counts as under way: a VM that has just taken the shard over finds the
-    /// intent of the former owner, and has first to record its outcome as unknown. A run started
-    /// before that would send the call a second time.
-    fn starts(&self, id: Program) -> Result<bool, Failure> {
+    /// An open intent counts as in progress: after a takeover, the outcome of a call of the previous owner must
+    /// first be recorded as unknown. A run started before that could send the call a second time.
+    fn can_start(&self, id: Program) -> Result<bool, Failure> {
         let shards = self.shards.borrow();
-        let held = shards
+        let state = shards
             .get(&id.shard())
-            .filter(|held| !held.leaving)
+            .filter(|state| !state.releasing)
             .ok_or_else(|| not_owner(id.shard()))?;
-        let open = held.table.get(id)?.intent.is_some();
-        let busy = self.busy.borrow();
-        let ending = held
+        let has_intent = state.table.get(id)?.intent.is_some();
+        let in_progress = self.in_progress.borrow();
+        let ending = state
             .table
             .line(id)
             .into_iter()
-            .any(|id| busy.contains(&end_gate(id)));
-        Ok(!open && !ending && !self.runs.borrow().contains_key(&id))
+            .any(|id| in_progress.contains(&end_key(id)));
+        Ok(!has_intent && !ending && !self.runs.borrow().contains_key(&id))
     }
 
-    /// What can be said of a call that waits behind an open intent.
+    /// Whether a call that waits for an open intent may have run: the intent may be its own.
     fn may_have_run(&self, id: Program, call: Call) -> Ran {
         let shards = self.shards.borrow();
         let program = shards
             .get(&id.shard())
-            .and_then(|held| held.table.get(id).ok());
+            .and_then(|state| state.table.get(id).ok());
         let intent = program.and_then(|program| program.intent.as_ref());
         if intent.is_some_and(|intent| intent.call == call) {
             Ran::Unknown
@@ -211,15 +223,15 @@
         }
     }
 
-    async fn read(
+    async fn read_answer(
         self: &Rc<Self>,
         id: Program,
         call: Call,
         from: Position,
         frames: &mpsc::Sender<Frame>,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Value, Failure> {
-        self.epoch(id.shard())?;
+        self.owned_epoch(id.shard())?;
         let running = self
             .runs
             .borrow()
@@ -227,34 +239,35 @@
             .filter(|run| run.call == call)
             .cloned();
         if let Some(run) = running {
-            return run.attend(from, frames, until).await;
+            return run.follow(from, frames, deadline).await;
         }
-        let answer = self.kept(id, call)?;
+        let answer = self.stored_answer(id, call)?;
         answer.body(call)
     }
 
-    pub(super) fn kept(&self, id: Program, call: Call) -> Result<Answer, Failure> {
+    pub(super) fn stored_answer(&self, id: Program, call: Call) -> Result<Answer, Failure> {
         let shards = self.shards.borrow();
-        let held = shards
+        let state = shards
             .get(&id.shard())
             .ok_or_else(|| not_owner(id.shard()))?;
         let index = usize::try_from(call.0)
             .unwrap_or(usize::MAX)
             .wrapping_sub(1);
-        let kept = held
+        let answered = state
             .table
             .get(id)?
             .kept
             .get(index)
             .map(|kept| kept.answer.clone());
-        kept.ok_or_else(|| {
-            let message = format!("call {call} has no answer and does not run; make it again");
+        answered.ok_or_else(|| {
+            let message =
+                format!("call {call} has no stored answer and is not running; send it again");
             Failure::refused(Code::UnknownCall, message)
         })
     }
 
-    /// Ends a program and all that it has spawned: their runs are cancelled, unless they must not
-    /// be repeated; those are waited for.
+    /// Ends a program and its descendants. Their runs are cancelled, except calls that must not be repeated, which
+    /// are waited for.
     pub(super) async fn end(
         self: &Rc<Self>,
         id: Program,
@@ -262,11 +275,11 @@
     ) -> Result<Value, Failure> {
         loop {
             let changed = self.changed.notified();
-            let epoch = self.epoch(id.shard())?;
-            if self.ended(id)? {
-                return self.account(id);
+            let epoch = self.owned_epoch(id.shard())?;
+            if self.is_ended(id)? {
+                return self.final_summary(id);
             }
-            if !self.quiet(id) || !self.busy.borrow_mut().insert(end_gate(id)) {
+            if !self.cancel_subtree(id) || !self.in_progress.borrow_mut().insert(end_key(id)) {
                 changed.await;
                 continue;
             }
@@ -276,51 +289,51 @@
                 at_ms: wall_ms(),
             };
             let ended = self.append(id.shard(), epoch, body).await;
-            self.busy.borrow_mut().remove(&end_gate(id));
+            self.in_progress.borrow_mut().remove(&end_key(id));
             self.changed.notify_waiters();
             ended?;
-            let (now, whole) = (Instant::now(), reason.is_none());
-            self.forecast.borrow_mut().record_end(now, id, whole);
+            let (now, completed) = (Instant::now(), reason.is_none());
+            self.forecast.borrow_mut().record_end(now, id, completed);
         }
     }
 
-    /// Cancels the runs of a program and of all that it has spawned; true once there is none.
+    /// Cancels the runs of a program and its descendants; `true` once there is no run and no open intent.
     ///
-    /// A child that was ended with a call under way would lose its answer: the record of the
-    /// answer comes behind the end and counts for nothing.
-    fn quiet(&self, id: Program) -> bool {
+    /// Ending a program during a call would lose the answer: a record of the answer that follows the end of the
+    /// program has no effect.
+    fn cancel_subtree(&self, id: Program) -> bool {
         let shards = self.shards.borrow();
-        let Some(held) = shards.get(&id.shard()) else {
+        let Some(state) = shards.get(&id.shard()) else {
             return true;
         };
         let runs = self.runs.borrow();
-        let mut quiet = true;
-        for program in held.table.tree(id) {
+        let mut idle = true;
+        for program in state.table.tree(id) {
             if let Some(run) = runs.get(&program) {
                 run.cancel.cancel();
-                quiet = false;
+                idle = false;
             }
-            // A child may have been forgotten.
-            let state = held.table.get(program);
-            quiet &= state.map_or(true, |state| state.intent.is_none());
+            // Descendants may already be removed from the table.
+            let descendant = state.table.get(program);
+            idle &= descendant.map_or(true, |program| program.intent.is_none());
         }
-        quiet
+        idle
     }
 
-    fn ended(&self, id: Program) -> Result<bool, Failure> {
+    fn is_ended(&self, id: Program) -> Result<bool, Failure> {
         let shards = self.shards.borrow();
-        let held = shards
+        let state = shards
             .get(&id.shard())
             .ok_or_else(|| not_owner(id.shard()))?;
-        Ok(held.table.get(id)?.is_ended())
+        Ok(state.table.get(id)?.is_ended())
     }
 
-    fn account(&self, id: Program) -> Result<Value, Failure> {
+    fn final_summary(&self, id: Program) -> Result<Value, Failure> {
         let shards = self.shards.borrow();
-        let held = shards
+        let state = shards
             .get(&id.shard())
             .ok_or_else(|| not_owner(id.shard()))?;
-        let program = held.table.get(id)?;
+        let program = state.table.get(id)?;
         Ok(json!({
             "program": id,
             "calls": program.kept.len(),
@@ -330,14 +343,14 @@
         }))
     }
 
-    fn look(&self, id: Program) -> Result<Value, Failure> {
-        self.epoch(id.shard())?;
+    fn program_state(&self, id: Program) -> Result<Value, Failure> {
+        self.owned_epoch(id.shard())?;
         let running = self.runs.borrow().get(&id).map(|run| run.state());
         let shards = self.shards.borrow();
-        let held = shards
+        let state = shards
             .get(&id.shard())
             .ok_or_else(|| not_owner(id.shard()))?;
-        let program = held.table.get(id)?;
+        let program = state.table.get(id)?;
         Ok(json!({
             "program": id,
             "owner": self.context.vm,
@@ -358,41 +371,46 @@
     }
 }
 
-/// Held while a program is being ended, so that no run of it starts.
-fn end_gate(id: Program) -> String {
+/// Key in `in_progress` while a program is being ended, so that no run of it starts.
+fn end_key(id: Program) -> String {
     format!("end/{id}")
 }
 
-/// Waits for a change, up to `until`.
-async fn wait(changed: impl Future<Output = ()>, until: Instant, ran: Ran) -> Result<(), Failure> {
-    timeout_at(until, changed).await.map_err(|_| passed(ran))
+/// Waits for a change, failing at `deadline`.
+async fn wait_for_change(
+    changed: impl Future<Output = ()>,
+    deadline: Instant,
+    ran: Ran,
+) -> Result<(), Failure> {
+    timeout_at(deadline, changed)
+        .await
+        .map_err(|_| deadline_passed(ran))
 }
 
-/// Runs on when its caller's deadline has passed: what it has appended may still count, and until
-/// that is known its gate has to stay closed.
+/// Runs `operation` to its end even if the caller stops waiting: a record that it appended may still take
+/// effect, and its key must stay in `in_progress` until that is known.
 async fn detached(
-    work: impl Future<Output = Result<Value, Failure>> + 'static,
+    operation: impl Future<Output = Result<Value, Failure>> + 'static,
 ) -> Result<Value, Failure> {
-    spawn_local(work).await.unwrap_or_else(|error| {
+    spawn_local(operation).await.unwrap_or_else(|error| {
         Err(Failure::refused(Code::Internal, error.to_string()).ran(Ran::Unknown))
     })
 }
 
-async fn bounded<T>(
-    until: Instant,
+async fn with_deadline<T>(
+    deadline: Instant,
     ran: Ran,
-    work: impl Future<Output = Result<T, Failure>>,
+    operation: impl Future<Output = Result<T, Failure>>,
 ) -> Result<T, Failure> {
-    timeout_at(until, work)
+    timeout_at(deadline, operation)
         .await
-        .unwrap_or_else(|_| Err(passed(ran)))
+        .unwrap_or_else(|_| Err(deadline_passed(ran)))
 }
 
-/// The failure of a request whose deadline passed.
-pub(super) fn passed(ran: Ran) -> Failure {
+pub(super) fn deadline_passed(ran: Ran) -> Failure {
     Failure::refused(
         Code::DeadlinePassed,
-        "the deadline passed; ask again for the same call",
+        "the deadline passed; retry the same call",
     )
     .ran(ran)
     .retry_after(Duration::from_millis(500))
--- a/src/owner/service.rs
+++ b/src/owner/service.rs
@@ -1,7 +1,7 @@
-//! A call of a plain service, and what keeps one that must not be repeated to one sending.
+//! Runs a service call. A call that must not be repeated is sent at most once.
 
 use super::duty::{Owner, Receipt, not_owner};
-use super::run::{Run, Work, unavailable};
+use super::run::{Job, Run, log_unavailable};
 use crate::backend;
 use crate::code::{Code, Failure, Ran};
 use crate::config::{Mode, Operation};
@@ -16,42 +16,44 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long before its caller's deadline a call that is not in the log is refused as not run.
-const MARGIN: Duration = Duration::from_millis(100);
+/// A call whose intent is not in the log by this time before its caller's deadline is refused as not run.
+const INTENT_MARGIN: Duration = Duration::from_millis(100);
 
 impl Owner {
     pub(super) async fn run_service(
         self: &Rc<Self>,
-        work: &Work,
+        job: &Job,
         invocation: Invocation,
     ) -> Result<Answer, Failure> {
         let Invocation {
             service, operation, ..
         } = &invocation;
-        let found = self
+        let operation_config = self
             .context
             .config
             .borrow()
             .operation(service, operation)
             .map(|(_, operation)| operation.clone())?;
-        self.afford_call(work.run.program)?;
+        self.check_call_budget(job.run.program)?;
         let key = Key::Service(service.clone());
-        let ask = self.service_ask(work)?;
-        work.run.stage.set("permit");
-        let lease = self.permit(work, &key, &ask).await?;
-        if found.mode == Mode::Once {
-            return self.run_once(work, &invocation, &found, lease).await;
+        let request = self.service_request(job)?;
+        job.run.stage.set("permit");
+        let lease = self.acquire_permit(job, &key, &request).await?;
+        if operation_config.mode == Mode::Once {
+            return self
+                .run_once(job, &invocation, &operation_config, lease)
+                .await;
         }
-        work.run.stage.set("send");
-        let call_key = format!("{}/{}", work.run.program, work.run.call);
+        job.run.stage.set("send");
+        let call_key = format!("{}/{}", job.run.program, job.run.call);
         let address = lease.grant.address;
-        let sending = self
-            .services
-            .call(address, &invocation, &call_key, found.timeout());
-        let before = work.run.sent.replace(true);
+        let sending =
+            self.services
+                .call(address, &invocation, &call_key, operation_config.timeout());
+        let earlier_sent = job.run.sent.replace(true);
         let reply = tokio::select! {
             reply = sending => reply,
-            () = work.run.cancel.cancelled() => return Err(self.cancelled(work)),
+            () = job.run.cancel.cancelled() => return Err(self.cancellation_failure(job)),
         };
         lease
             .done(Outcome {
@@ -61,36 +63,36 @@
             .await;
         match reply {
             Ok(backend::Reply { status, body }) => {
-                self.finish(work, Vec::new(), Answer::Service { status, body })
+                self.record_answer(job, Vec::new(), Answer::Service { status, body })
                     .await
             }
             Err(backend::Broken { sent, reason }) => {
-                work.run.sent.set(before || sent);
+                job.run.sent.set(earlier_sent || sent);
                 Err(Failure::refused(Code::ServiceFailed, reason)
                     .retry_after(Duration::from_secs(1)))
             }
         }
     }
 
-    /// Sends a call that must not be repeated: intent in the log, one sending, outcome in the log.
+    /// Runs a call that must not be repeated: records the intent, sends once, records the outcome.
     async fn run_once(
         &self,
-        work: &Work,
+        job: &Job,
         invocation: &Invocation,
         operation: &Operation,
         lease: Lease,
     ) -> Result<Answer, Failure> {
         let mut effect = Effect::default();
-        work.run.stage.set("journal_intent");
-        let event = self.intend(work, invocation).await?;
+        job.run.stage.set("journal_intent");
+        let event = self.append_intent(job, invocation).await?;
         match effect.take(event) {
             Action::Send => {}
-            Action::Drop => return self.drop_intent(work, self.unsent(work, event)).await,
-            _ => return Err(not_owner(work.run.program.shard())),
+            Action::Drop => return self.drop_intent(job, self.unsent_failure(job, event)).await,
+            _ => return Err(not_owner(job.run.program.shard())),
         }
-        work.run.stage.set("send");
-        work.run.sent.set(true);
-        let key = format!("{}/{}", work.run.program, work.run.call);
+        job.run.stage.set("send");
+        job.run.sent.set(true);
+        let key = format!("{}/{}", job.run.program, job.run.call);
         let address = lease.grant.address;
         let sending = self
             .services
@@ -103,7 +105,7 @@
                 ..Outcome::default()
             })
             .await;
-        work.run.stage.set("journal_done");
+        job.run.stage.set("journal_done");
         let event = match &reply {
             Ok(_) => Event::Replied,
             Err(broken) => Event::Broken { sent: broken.sent },
@@ -113,10 +115,10 @@
                 Answer::Service { status, body }
             }
             (Action::Drop, Err(broken)) => {
-                work.run.sent.set(false);
+                job.run.sent.set(false);
                 let failure = Failure::refused(Code::ServiceFailed, broken.reason);
                 return self
-                    .drop_intent(work, failure.retry_after(Duration::from_secs(1)))
+                    .drop_intent(job, failure.retry_after(Duration::from_secs(1)))
                     .await;
             }
             (_, Err(broken)) => Answer::Unknown {
@@ -126,89 +128,92 @@
                 message: "the reply came too late".to_owned(),
             },
         };
-        self.finish(work, Vec::new(), answer).await
+        self.record_answer(job, Vec::new(), answer).await
     }
 
-    /// Appends the intent and waits until it has been read back.
-    async fn intend(&self, work: &Work, invocation: &Invocation) -> Result<Event, Failure> {
-        let run = &work.run;
+    /// Appends the intent and waits until it is read back.
+    async fn append_intent(&self, job: &Job, invocation: &Invocation) -> Result<Event, Failure> {
+        let run = &job.run;
         let intent = Body::Intent {
             program: run.program,
             call: run.call,
             digest: run.digest,
             target: format!("{}/{}", invocation.service, invocation.operation),
         };
-        let wait = self.push(run.program.shard(), work.epoch, intent)?;
-        // Ahead of the caller's own deadline, which could only say "unknown".
-        let until = work.asked.checked_sub(MARGIN).unwrap_or(work.asked);
+        let wait = self.submit(run.program.shard(), job.epoch, intent)?;
+        // Before the caller's own deadline, after which the answer could only be "unknown".
+        let intent_deadline = job
+            .caller_deadline
+            .checked_sub(INTENT_MARGIN)
+            .unwrap_or(job.caller_deadline);
         let receipt = tokio::select! {
             biased;
             receipt = wait => receipt,
             () = run.cancel.cancelled() => return Ok(Event::Withdrawn),
-            () = tokio::time::sleep_until(until) => return Ok(Event::Withdrawn),
+            () = tokio::time::sleep_until(intent_deadline) => return Ok(Event::Withdrawn),
         };
-        let Receipt { verdict, asked } =
+        let Receipt { validity, asked } =
             receipt.map_err(|_| Failure::refused(Code::Internal, "the owner was restarted"))?;
-        // A takeover may have been read with the intent: the next owner has its word on the call.
-        let held = self.holds(run.program.shard(), work.epoch);
-        let counts = verdict == Verdict::Valid && held && self.intends(run);
+        // A takeover may have been read with the intent; the new owner then decides on the call.
+        let owned = self.owns_since(run.program.shard(), job.epoch);
+        let counts = validity == Verdict::Valid && owned && self.is_intent_open(run);
         let now = Instant::now();
         Ok(Event::ReadBack { counts, asked, now })
     }
 
-    /// Whether the program has this run's intent as the open one of its next call.
+    /// Whether this call's intent is the open intent of the program.
     ///
-    /// A valid intent may stand behind the outcome that this VM gave the call when it took the
-    /// shard over; sent then, the call would take effect a second time.
-    fn intends(&self, run: &Run) -> bool {
+    /// A valid intent may follow the outcome that this VM recorded for the call when it took the shard over; if it
+    /// were sent then, the call could take effect twice.
+    fn is_intent_open(&self, run: &Run) -> bool {
         let shards = self.shards.borrow();
-        let held = shards.get(&run.program.shard());
-        let program = held.and_then(|held| held.table.get(run.program).ok());
+        let state = shards.get(&run.program.shard());
+        let program = state.and_then(|state| state.table.get(run.program).ok());
         let intent = program.and_then(|program| program.intent.as_ref());
         intent.is_some_and(|intent| intent.call == run.call && intent.digest == run.digest)
     }
 
-    /// The failure of a call whose intent was dropped before it was sent.
-    fn unsent(&self, work: &Work, event: Event) -> Failure {
+    /// Failure of a call whose intent was dropped before it was sent.
+    fn unsent_failure(&self, job: &Job, event: Event) -> Failure {
         if matches!(event, Event::ReadBack { .. }) {
-            let message = "not sent within its window";
+            let message = "the call could not be sent in time";
             return Failure::refused(Code::DeadlinePassed, message)
                 .retry_after(Duration::from_millis(500));
         }
-        if work.run.cancel.is_cancelled() {
-            return self.cancelled(work).ran(Ran::No);
+        if job.run.cancel.is_cancelled() {
+            return self.cancellation_failure(job).ran(Ran::No);
         }
-        unavailable()
+        log_unavailable()
     }
 
-    /// Refuses the call at once, and keeps its program busy until the log says so too: another
-    /// run before that would find the intent open.
-    async fn drop_intent(&self, work: &Work, failure: Failure) -> Result<Answer, Failure> {
-        let (program, call) = (work.run.program, work.run.call);
-        work.run.stage.set("journal_dropped");
-        work.run.tell(Err(failure.clone()));
+    /// Refuses the call at once, but keeps it running until the drop is in the log: another call of the program
+    /// would find the intent still open.
+    async fn drop_intent(&self, job: &Job, failure: Failure) -> Result<Answer, Failure> {
+        let (program, call) = (job.run.program, job.run.call);
+        job.run.stage.set("journal_dropped");
+        job.run.set_result(Err(failure.clone()));
         let dropped = Body::Dropped { program, call };
-        self.append_surely(program.shard(), work.epoch, dropped)
+        self.append_retrying(program.shard(), job.epoch, dropped)
             .await?;
         Err(failure)
     }
 
-    fn afford_call(&self, id: Program) -> Result<(), Failure> {
+    fn check_call_budget(&self, id: Program) -> Result<(), Failure> {
         let shards = self.shards.borrow();
-        let held = shards
+        let state = shards
             .get(&id.shard())
             .ok_or_else(|| not_owner(id.shard()))?;
-        held.table.get(id)?.afford(Tokens(0), 1)
+        state.table.get(id)?.afford(Tokens(0), 1)
     }
 
-    fn service_ask(&self, work: &Work) -> Result<Request, Failure> {
-        let id = work.run.program;
+    fn service_request(&self, job: &Job) -> Result<Request, Failure> {
+        let id = job.run.program;
         let shards = self.shards.borrow();
-        let held = shards
+        let state = shards
             .get(&id.shard())
             .ok_or_else(|| not_owner(id.shard()))?;
-        let program: &program::Program = held.table.get(id)?;
-        let urgency = self.urgency(program, &work.class);
+        let program: &program::Program = state.table.get(id)?;
+        let urgency = self.urgency(program, &job.class);
         Ok(Request {
             program: id,
             class: Some(program.class.clone()),
--- a/src/owner/spawn.rs
+++ b/src/owner/spawn.rs
@@ -1,7 +1,7 @@
 //! A call that opens a child program.
 
 use super::duty::{Owner, not_owner};
-use super::run::{Run, Work};
+use super::run::{Job, Run};
 use crate::clock::wall_ms;
 use crate::code::{Code, Failure};
 use crate::id::Program;
@@ -9,34 +9,34 @@
 use crate::program::{Answer, Spawn};
 
 impl Owner {
-    pub(super) async fn run_spawn(&self, work: &Work, spawn: Spawn) -> Result<Answer, Failure> {
+    pub(super) async fn run_spawn(&self, job: &Job, spawn: Spawn) -> Result<Answer, Failure> {
         let Run {
             program,
             call,
             digest,
             ..
-        } = *work.run.as_ref();
+        } = *job.run.as_ref();
         let Spawn { class, budget } = spawn;
         self.context.config.borrow().class(&class)?;
         {
             let shards = self.shards.borrow();
-            let held = shards
+            let state = shards
                 .get(&program.shard())
                 .ok_or_else(|| not_owner(program.shard()))?;
-            let parent = held.table.get(program)?;
-            // Without a limit of its own the child could make calls that its parent has not got.
+            let parent = state.table.get(program)?;
+            // Without a limit, the child could make more calls than its parent has left.
             if parent.budget.calls.is_some() && budget.calls.is_none() {
-                let message = "the child of a program with a budget of calls needs one";
+                let message = "the parent has a call budget, so the child needs one too";
                 return Err(Failure::refused(Code::BudgetExceeded, message));
             }
             parent.afford(budget.tokens, 1 + budget.calls.unwrap_or(0))?;
-            if parent.depth >= work.class.depth {
+            if parent.depth >= job.class.depth {
                 return Err(Failure::refused(
                     Code::DepthLimit,
                     Code::DepthLimit.meaning(),
                 ));
             }
-            if parent.children.len() >= work.class.children {
+            if parent.children.len() >= job.class.children {
                 return Err(Failure::refused(
                     Code::ChildLimit,
                     Code::ChildLimit.meaning(),
@@ -54,7 +54,7 @@
             budget,
             at_ms,
         };
-        self.recorded(work, body).await?;
+        self.append_by_deadline(job, body).await?;
         Ok(Answer::Spawned { child })
     }
 }
