--- a/src/gateway/front/mod.rs
+++ b/src/gateway/front/mod.rs
@@ -278,12 +278,8 @@
     let began = Instant::now();
     event!(info, "stopping", limit_ms = limit.as_millis());
     gateway.stopping.set(true);
-    let handover_gateway = Rc::clone(gateway);
-    spawn_local(async move {
-        handover_gateway
-            .hand_over_partitions(Reason::Stopping)
-            .await
-    });
+    let gateway = Rc::clone(gateway);
+    spawn_local(async move { gateway.hand_over_partitions(Reason::Stopping).await });
     sleep(SHUTDOWN_ACCEPT_PERIOD.min(limit)).await;
     stop.cancel();
     let remaining = limit.saturating_sub(began.elapsed());
--- a/src/owner/maintenance.rs
+++ b/src/owner/maintenance.rs
@@ -18,8 +18,8 @@
 enum Step {
     Evict(Program, Server, Option<SocketAddr>),
     Expire(Program),
-    Forget(Program),
-    Settle(Program, Intent),
+    Remove(Program),
+    RecordUnknown(Program, Intent),
 }
 
 impl Owner {
@@ -29,8 +29,8 @@
             let key = match &step {
                 Step::Evict(program, server, _) => format!("evict/{program}/{server}"),
                 Step::Expire(program) => format!("expire/{program}"),
-                Step::Forget(program) => format!("forget/{program}"),
-                Step::Settle(program, _) => format!("settle/{program}"),
+                Step::Remove(program) => format!("forget/{program}"),
+                Step::RecordUnknown(program, _) => format!("settle/{program}"),
             };
             if !self.in_progress.borrow_mut().insert(key.clone()) {
                 continue;
@@ -68,7 +68,7 @@
             && !program.is_ended()
             && !self.runs.borrow().contains_key(&program.id)
         {
-            return vec![Step::Settle(program.id, intent.clone())];
+            return vec![Step::RecordUnknown(program.id, intent.clone())];
         }
         let config = self.context.config.borrow();
         let class = config.class(&program.class).ok();
@@ -85,7 +85,7 @@
             let keep = class.map_or(0, |class| class.keep_ms);
             let expired = now.saturating_sub(ended) > keep;
             return if expired {
-                vec![Step::Forget(program.id)]
+                vec![Step::Remove(program.id)]
             } else {
                 Vec::new()
             };
@@ -109,8 +109,8 @@
                 let _ = self.end(program, Some(Code::TimeLimit)).await;
                 return;
             }
-            Step::Forget(program) => Body::Forgotten { program },
-            Step::Settle(program, intent) => unknown_outcome(program, intent),
+            Step::Remove(program) => Body::Forgotten { program },
+            Step::RecordUnknown(program, intent) => unknown_outcome(program, intent),
             Step::Evict(program, server, address) => {
                 // A server that is no longer configured can't be asked to evict.
                 if let Some(address) = address
--- a/src/owner/service.rs
+++ b/src/owner/service.rs
@@ -108,21 +108,21 @@
         job.run.stage.set("journal_done");
         let event = match &reply {
             Ok(_) => Event::Replied,
-            Err(broken) => Event::Broken { sent: broken.sent },
+            Err(error) => Event::Broken { sent: error.sent },
         };
         let answer = match (effect.take(event), reply) {
             (Action::Record, Ok(backend::Reply { status, body })) => {
                 Answer::Service { status, body }
             }
-            (Action::Drop, Err(broken)) => {
+            (Action::Drop, Err(error)) => {
                 job.run.sent.set(false);
-                let failure = Failure::refused(Code::ServiceFailed, broken.reason);
+                let failure = Failure::refused(Code::ServiceFailed, error.reason);
                 return self
                     .drop_intent(job, failure.retry_after(Duration::from_secs(1)))
                     .await;
             }
-            (_, Err(broken)) => Answer::Unknown {
-                message: broken.reason,
+            (_, Err(error)) => Answer::Unknown {
+                message: error.reason,
             },
             (_, Ok(_)) => Answer::Unknown {
                 message: "the reply came too late".to_owned(),
