--- a/src/gateway/front/metrics.rs
+++ b/src/gateway/front/metrics.rs
@@ -29,7 +29,7 @@
     /// Requests refused by team limits, by team.
     limit_refusals: Counter<u64>,
     /// Teams that have a label of their own.
-    labelled: RefCell<HashSet<String>>,
+    labelled_teams: RefCell<HashSet<String>>,
     /// Time from a request's head to the last byte of the response, by kind of route.
     total_ms: Histogram<f64>,
     /// Wait of requests for a slot at a backend server.
@@ -75,7 +75,7 @@
                 "limit_refusals",
                 "Requests refused by the limits of teams, by team",
             ),
-            labelled: RefCell::default(),
+            labelled_teams: RefCell::default(),
             total_ms: histogram("request_ms", "Milliseconds from the head to the last byte"),
             slot_wait_ms: histogram("waited_ms", "Milliseconds of waiting for a backend server"),
             token_wait_ms: histogram("allowed_ms", "Milliseconds of waiting for leave for tokens"),
@@ -120,11 +120,11 @@
     }
 
     pub(crate) fn count_limit_refusal(&self, team: &str) {
-        let mut labelled = self.labelled.borrow_mut();
-        if labelled.len() < MAX_TEAM_LABELS {
-            labelled.insert(team.to_owned());
+        let mut labelled_teams = self.labelled_teams.borrow_mut();
+        if labelled_teams.len() < MAX_TEAM_LABELS {
+            labelled_teams.insert(team.to_owned());
         }
-        let label = if labelled.contains(team) {
+        let label = if labelled_teams.contains(team) {
             team
         } else {
             OTHER_TEAMS
--- a/src/gateway/front/mod.rs
+++ b/src/gateway/front/mod.rs
@@ -124,9 +124,9 @@
 }
 
 fn bind_udp(address: SocketAddr) -> Result<std::net::UdpSocket, Failure> {
-    let unbound = |error| Failure::refused(Code::BadSettings, format!("{address}: {error}"));
-    let socket = std::net::UdpSocket::bind(address).map_err(unbound)?;
-    socket.set_nonblocking(true).map_err(unbound)?;
+    let bind_error = |error| Failure::refused(Code::BadSettings, format!("{address}: {error}"));
+    let socket = std::net::UdpSocket::bind(address).map_err(bind_error)?;
+    socket.set_nonblocking(true).map_err(bind_error)?;
     Ok(socket)
 }
 
@@ -163,7 +163,7 @@
         .map(|seed| SocketAddr::new(seed.ip(), address.port()))
         .collect();
     supervisor.duty("member", move || {
-        let _open = &draining_sender;
+        let _keep_open = &draining_sender;
         member::run(member::Setup {
             socket: socket.try_clone().expect("a socket can be duplicated"),
             key: key.clone(),
--- a/src/gateway/front/sample.rs
+++ b/src/gateway/front/sample.rs
@@ -12,7 +12,7 @@
 
 /// Limits the log lines of successful requests; lines of failures are not sampled.
 ///
-/// Sampling is by request id, so that either all or none of a request's lines are logged.
+/// Sampling is by request id, so that the lines of one request are kept or dropped together.
 #[derive(Debug)]
 pub(crate) struct Sampler {
     second_start: Cell<Instant>,
--- a/src/owner/claim.rs
+++ b/src/owner/claim.rs
@@ -55,9 +55,9 @@
     fn is_idle(&self, shard: Shard) -> bool {
         let shards = self.shards.borrow();
         let state = shards.get(&shard);
-        let is_owned = state.is_some_and(|state| state.epoch.is_some() && !state.releasing);
+        let may_move = state.is_some_and(|state| state.epoch.is_some() && !state.releasing);
         let runs = self.runs.borrow();
-        is_owned && !runs.values().any(|run| run.program.shard() == shard)
+        may_move && !runs.values().any(|run| run.program.shard() == shard)
     }
 
     /// Releases a shard to a successor; retried by a later tick if the journal's queue is full.
@@ -68,12 +68,12 @@
             .get(&shard)
             .and_then(|state| state.epoch);
         let Some(epoch) = epoch else { return };
-        let pushed = self.submit(shard, epoch, Body::Release { successor });
-        if let Err(failure) = &pushed {
+        let submitted = self.submit(shard, epoch, Body::Release { successor });
+        if let Err(failure) = &submitted {
             event!(warn, "release_failed", shard = shard, reason = failure);
         }
         if let Some(state) = self.shards.borrow_mut().get_mut(&shard) {
-            state.releasing = pushed.is_ok();
+            state.releasing = submitted.is_ok();
         }
     }
 
--- a/src/owner/duty.rs
+++ b/src/owner/duty.rs
@@ -190,8 +190,11 @@
         body: Body,
     ) -> Result<Instant, Failure> {
         loop {
-            let wait = self.submit(shard, epoch, body.clone())?;
-            match wait.await.map(|receipt| (receipt.validity, receipt.asked)) {
+            let pending = self.submit(shard, epoch, body.clone())?;
+            match pending
+                .await
+                .map(|receipt| (receipt.validity, receipt.asked))
+            {
                 Ok((Verdict::Valid | Verdict::Claimed(_), asked)) => return Ok(asked),
                 // Overtaken by this VM's own renewed claim: written again under the new epoch.
                 Ok((Verdict::Void, _)) if self.owns_since(shard, epoch) => {}
@@ -263,11 +266,11 @@
                 Failure::refused(Code::RingFull, "the journal's queue is full")
                     .retry_after(Duration::from_millis(500))
             })?;
-        let (receipt, wait) = oneshot::channel();
+        let (receipt, pending) = oneshot::channel();
         self.waiters
             .borrow_mut()
             .insert((stream, sequence), Waiter { program, receipt });
-        Ok(wait)
+        Ok(pending)
     }
 
     /// Epoch under which this VM owns `shard`.
--- a/src/owner/service.rs
+++ b/src/owner/service.rs
@@ -140,7 +140,7 @@
             digest: run.digest,
             target: format!("{}/{}", invocation.service, invocation.operation),
         };
-        let wait = self.submit(run.program.shard(), job.epoch, intent)?;
+        let pending = self.submit(run.program.shard(), job.epoch, intent)?;
         // Before the caller's own deadline, after which the answer could only be "unknown".
         let intent_deadline = job
             .caller_deadline
@@ -148,7 +148,7 @@
             .unwrap_or(job.caller_deadline);
         let receipt = tokio::select! {
             biased;
-            receipt = wait => receipt,
+            receipt = pending => receipt,
             () = run.cancel.cancelled() => return Ok(Event::Withdrawn),
             () = tokio::time::sleep_until(intent_deadline) => return Ok(Event::Withdrawn),
         };
