--- a/src/serve.rs
+++ b/src/serve.rs
@@ -157,7 +157,7 @@
     config: watch::Receiver<Arc<Snapshot>>,
     view: watch::Receiver<Arc<View>>,
     states: watch::Receiver<Arc<State>>,
-    owner: flume::Sender<owner::Ask>,
+    owner: flume::Sender<owner::Envelope>,
     dispatch: flume::Sender<dispatch::Command>,
     stages: Stages,
 }
@@ -314,13 +314,13 @@
         &self,
         supervisor: &mut Supervisor,
         journal: flume::Sender<journal::Command>,
-        requests: flume::Receiver<owner::Ask>,
+        requests: flume::Receiver<owner::Envelope>,
         events: flume::Receiver<journal::Event>,
         state_requests: flume::Receiver<oneshot::Sender<serde_json::Value>>,
     ) {
         let settings = &self.settings;
         let context = owner::Context {
-            me: settings.vm.clone(),
+            vm: settings.vm.clone(),
             zone: settings.zone.clone(),
             shards: settings.shards,
             streams: settings.journal_streams,
@@ -328,7 +328,7 @@
             checkpoint_entries: settings.checkpoint_entries,
             config: self.config.clone(),
             view: self.view.clone(),
-            local: self.local.clone(),
+            announcement: self.local.clone(),
             journal,
             dispatch: dispatch::Client {
                 me: settings.vm.clone(),
@@ -337,7 +337,7 @@
                 links: self.links.clone(),
             },
             metrics: self.metrics.clone(),
-            leave: self.stages.owner.clone(),
+            leaving: self.stages.owner.clone(),
         };
         let stages = self.stages.clone();
         supervisor.spawn("owner", move || {
