--- a/src/trial/site.rs
+++ b/src/trial/cluster.rs
@@ -1,4 +1,4 @@
-//! The stand-ins and the three VMs of a trial, on threads of this process.
+//! The stand-ins and VMs of a trial, run on threads of this process.
 
 use crate::code::{Code, Failure};
 use crate::serve::{self, Sockets};
@@ -13,116 +13,120 @@
 use tokio::time::{Instant, sleep};
 use tokio_util::sync::CancellationToken;
 
-/// VMs, one for each availability zone.
-const VMS: usize = 3;
-/// Model engines.
-const ENGINES: usize = 3;
-/// Shards that the programs are spread over.
-const SHARDS: usize = 16;
-/// How long everything may take to come up.
-const START: Duration = Duration::from_secs(30);
-/// Time between looks at what is coming up.
-const LOOK: Duration = Duration::from_millis(50);
-/// How long a stand-in or an operator's address may take to answer.
-const ANSWER: Duration = Duration::from_secs(5);
-
-/// Everything that a trial runs against.
+/// Number of VMs; each is in an availability zone of its own.
+const VM_COUNT: usize = 3;
+/// Number of model engines.
+const ENGINE_COUNT: usize = 3;
+const SHARD_COUNT: usize = 16;
+/// Limit on the time until every VM is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of a request to a stand-in or to an operators' address.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// The running stand-ins and VMs.
 #[derive(Debug)]
-pub(super) struct Site {
-    standins: Runtime,
-    threads: Vec<JoinHandle<()>>,
+pub(super) struct Cluster {
+    standin_runtime: Runtime,
+    vm_threads: Vec<JoinHandle<()>>,
     stop: CancellationToken,
     http: reqwest::Client,
     pub(super) log: SocketAddr,
     pub(super) engines: Vec<SocketAddr>,
     pub(super) service: SocketAddr,
-    vms: Vec<Settings>,
+    vm_settings: Vec<Settings>,
 }
 
-impl Site {
-    /// Starts the stand-ins and the VMs.
+impl Cluster {
     pub(super) fn start() -> io::Result<Self> {
-        let standins = tokio::runtime::Builder::new_multi_thread()
+        let standin_runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
             .enable_all()
             .build()?;
         let stop = CancellationToken::new();
-        let log = standin(&standins, Kind::Log)?;
-        let service = standin(&standins, Kind::Service)?;
-        let engines = (0..ENGINES)
-            .map(|_| standin(&standins, Kind::Engine))
+        let log = spawn_standin(&standin_runtime, Kind::Log)?;
+        let service = spawn_standin(&standin_runtime, Kind::Service)?;
+        let engines = (0..ENGINE_COUNT)
+            .map(|_| spawn_standin(&standin_runtime, Kind::Engine))
             .collect::<io::Result<_>>()?;
-        let vms = settings(log)?;
-        let threads = vms
+        let vm_settings = settings(log)?;
+        let vm_threads = vm_settings
             .iter()
-            .map(|settings| vm(settings, &stop))
+            .map(|settings| spawn_vm(settings, &stop))
             .collect::<io::Result<_>>()?;
         Ok(Self {
-            standins,
-            threads,
+            standin_runtime,
+            vm_threads,
             stop,
             http: reqwest::Client::new(),
             log,
             engines,
             service,
-            vms,
+            vm_settings,
         })
     }
 
-    /// Publishes the configuration, then waits until every VM is ready and every shard is owned.
-    pub(super) async fn ready(&self) -> Result<(), Failure> {
+    /// Publishes the configuration and waits until every VM is ready and every shard has an owner.
+    pub(super) async fn wait_until_ready(&self) -> Result<(), Failure> {
         for (key, value) in configuration(&self.engines, self.service) {
             self.publish(&key, value).await?;
         }
-        let until = Instant::now() + START;
+        let deadline = Instant::now() + READY_TIMEOUT;
         while !self.is_ready().await {
-            if Instant::now() > until {
-                let message = "the VMs do not become ready";
+            if Instant::now() > deadline {
+                let message = "the VMs did not become ready in time";
                 return Err(Failure::refused(Code::Internal, message));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
     async fn is_ready(&self) -> bool {
-        let mut owned = 0;
-        for vm in &self.vms {
+        let mut owned_shards = 0;
+        for vm in &self.vm_settings {
             let Ok(state) = self.get(vm.listen.operators, "/state").await else {
                 return false;
             };
             if state["local"]["ready"] != true {
                 return false;
             }
-            owned += state["owner"]["shards"]
+            owned_shards += state["owner"]["shards"]
                 .as_object()
                 .map_or(0, serde_json::Map::len);
         }
-        owned >= SHARDS
+        owned_shards >= SHARD_COUNT
     }
 
     async fn publish(&self, key: &str, value: Value) -> Result<(), Failure> {
         let change = json!({ "schema": 1, "key": key, "value": value, "by": "trial" });
         let url = format!("http://{}/streams/config", self.log);
-        let request = self.http.post(url).body(change.to_string()).timeout(ANSWER);
+        let request = self
+            .http
+            .post(url)
+            .body(change.to_string())
+            .timeout(REQUEST_TIMEOUT);
         let reply = request
             .send()
             .await
             .and_then(reqwest::Response::error_for_status);
-        reply.map(|_| ()).map_err(|error| silent(&error))
+        reply.map(|_| ()).map_err(|error| request_error(&error))
     }
 
-    /// A JSON page of a stand-in or a VM.
+    /// Reads a JSON document from a stand-in or a VM.
     pub(super) async fn get(&self, address: SocketAddr, path: &str) -> Result<Value, Failure> {
         let request = self
             .http
             .get(format!("http://{address}{path}"))
-            .timeout(ANSWER);
-        let reply = request.send().await.map_err(|error| silent(&error))?;
-        reply.json().await.map_err(|error| silent(&error))
+            .timeout(REQUEST_TIMEOUT);
+        let reply = request
+            .send()
+            .await
+            .map_err(|error| request_error(&error))?;
+        reply.json().await.map_err(|error| request_error(&error))
     }
 
-    /// Posts to a stand-in and reads its whole reply.
+    /// Sends a request to a stand-in and reads the reply to its end.
     pub(super) async fn post(
         &self,
         address: SocketAddr,
@@ -132,14 +136,14 @@
     ) -> Result<(), Failure> {
         let request = self.http.post(format!("http://{address}{path}"));
         let request = request.header("idempotency-key", key).json(body);
-        let reply = request.timeout(ANSWER).send().await;
+        let reply = request.timeout(REQUEST_TIMEOUT).send().await;
         let reply = reply.and_then(reqwest::Response::error_for_status);
-        let reply = reply.map_err(|error| silent(&error))?;
-        reply.bytes().await.map_err(|error| silent(&error))?;
+        let reply = reply.map_err(|error| request_error(&error))?;
+        reply.bytes().await.map_err(|error| request_error(&error))?;
         Ok(())
     }
 
-    /// Appends to the journal so far, as the log stand-in counts them.
+    /// Number of appends to the journal streams, as counted by the log stand-in.
     pub(super) async fn journal_appends(&self) -> Result<u64, Failure> {
         let counters = self.get(self.log, "/counters").await?;
         let streams = counters["appends_by_stream"].as_object();
@@ -150,35 +154,38 @@
         Ok(journals.filter_map(|(_, appends)| appends.as_u64()).sum())
     }
 
-    /// Where the VMs take callers.
-    pub(super) fn entries(&self) -> Vec<SocketAddr> {
-        self.vms.iter().map(|vm| vm.listen.callers).collect()
+    /// Addresses at which the VMs accept callers.
+    pub(super) fn caller_addresses(&self) -> Vec<SocketAddr> {
+        self.vm_settings
+            .iter()
+            .map(|vm| vm.listen.callers)
+            .collect()
     }
 
-    /// Stops the VMs, then the stand-ins.
+    /// Stops the VMs, then the stand-ins that they depend on.
     pub(super) fn stop(self) {
         self.stop.cancel();
-        for thread in self.threads {
+        for thread in self.vm_threads {
             if thread.join().is_err() {
                 eprintln!("vanillatrail: a VM of the trial panicked");
             }
         }
-        self.standins.shutdown_background();
+        self.standin_runtime.shutdown_background();
     }
 }
 
-fn silent(error: &reqwest::Error) -> Failure {
+fn request_error(error: &reqwest::Error) -> Failure {
     Failure::refused(Code::Internal, error.to_string())
 }
 
-fn standin(runtime: &Runtime, kind: Kind) -> io::Result<SocketAddr> {
+fn spawn_standin(runtime: &Runtime, kind: Kind) -> io::Result<SocketAddr> {
     let listener = standin::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
     let address = listener.local_addr()?;
     runtime.spawn(standin::serve(kind, listener, CancellationToken::new()));
     Ok(address)
 }
 
-fn vm(settings: &Settings, stop: &CancellationToken) -> io::Result<JoinHandle<()>> {
+fn spawn_vm(settings: &Settings, stop: &CancellationToken) -> io::Result<JoinHandle<()>> {
     let sockets =
         Sockets::bind(&settings.listen).map_err(|failure| io::Error::other(failure.message))?;
     let (settings, stop) = (settings.clone(), stop.clone());
@@ -187,19 +194,19 @@
         .spawn(move || serve::run(&settings, sockets, &stop))
 }
 
-/// Settings of the VMs, on ports that were free a moment ago.
+/// Settings of the VMs, with free ports.
 fn settings(log: SocketAddr) -> io::Result<Vec<Settings>> {
-    // All are held at once, so that no port is given twice.
-    let held = (0..VMS * 3)
+    // All listeners stay open until every port is known, so that no port is assigned twice.
+    let listeners = (0..VM_COUNT * 3)
         .map(|_| TcpListener::bind("127.0.0.1:0"))
         .collect::<io::Result<Vec<_>>>()?;
-    let addresses = held
+    let addresses = listeners
         .iter()
         .map(TcpListener::local_addr)
         .collect::<io::Result<Vec<_>>>()?;
     let seeds: Vec<_> = addresses.chunks(3).map(|listen| listen[1]).collect();
     let peer_key = format!("{:032x}", rand::random::<u128>());
-    let each = addresses.chunks(3).enumerate().map(|(index, listen)| {
+    let vm_settings = addresses.chunks(3).enumerate().map(|(index, listen)| {
         let text = json!({
             "vm": format!("vm-{index}"),
             "zone": zone(index),
@@ -207,23 +214,24 @@
             "seeds": seeds,
             "peer_key": peer_key,
             "log": format!("http://{log}"),
-            "shards": SHARDS,
+            "shards": SHARD_COUNT,
             "stop_ms": 3000,
         });
         Settings::parse(&text.to_string())
     });
-    each.collect::<Result<_, _>>()
+    vm_settings
+        .collect::<Result<_, _>>()
         .map_err(|failure| io::Error::other(failure.message))
 }
 
 fn zone(index: usize) -> String {
-    format!("zone-{}", index % VMS)
+    format!("zone-{}", index % VM_COUNT)
 }
 
 fn configuration(engines: &[SocketAddr], service: SocketAddr) -> Vec<(String, Value)> {
     let classes = super::plan::Kind::ALL.into_iter().map(|kind| {
         let target = u64::try_from(kind.target().as_millis()).unwrap_or(u64::MAX);
-        let value = json!({ "target_ms": target, "waiting": kind.waits() });
+        let value = json!({ "target_ms": target, "waiting": kind.has_waiting_caller() });
         (format!("class/{kind}"), value)
     });
     let engines = engines.iter().enumerate().map(|(index, address)| {
@@ -239,8 +247,8 @@
             "confirm": { "mode": "once" },
         },
     });
-    let mut all: Vec<_> = classes.collect();
-    all.push(("pool/main".to_owned(), pool));
-    all.push(("service/desk".to_owned(), service));
-    all
+    let mut entries: Vec<_> = classes.collect();
+    entries.push(("pool/main".to_owned(), pool));
+    entries.push(("service/desk".to_owned(), service));
+    entries
 }
--- a/src/trial/mod.rs
+++ b/src/trial/mod.rs
@@ -1,12 +1,13 @@
-//! A trial in one process: stand-ins, three VMs on loopback, and a seeded mix of programs.
+//! End-to-end self-test in one process: stand-ins for the platform and the backend servers, three
+//! VMs on loopback, and a seeded mix of programs.
 
 mod audit;
 mod caller;
+mod cluster;
 mod latency;
 mod plan;
 mod plant;
 mod report;
-mod site;
 
 pub(crate) use plant::Plant;
 pub(crate) use report::Report;
@@ -14,82 +15,82 @@
 use crate::code::{Code, Failure};
 use audit::Audit;
 use caller::Caller;
+use cluster::Cluster;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use plan::Plan;
-use report::Run;
-use site::Site;
+use report::Results;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Threads that the callers share.
+/// Worker threads of the runtime that runs the callers.
 const CALLER_THREADS: usize = 2;
 
-/// What a trial runs.
+/// Parameters of a trial.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Options {
-    /// The seed of the mix.
+    /// Seed of the random mix of programs.
     pub(crate) seed: u64,
-    /// How many programs callers open, sub-agents not counted.
+    /// Number of programs that callers open, without sub-agents.
     pub(crate) programs: usize,
-    /// The time over which the programs are opened.
+    /// Period over which the programs are opened.
     pub(crate) spread: Duration,
-    /// Pairs of calls, direct and through the path, by which the path is measured.
+    /// Pairs of model calls, one direct and one through a VM, that measure the added latency.
     pub(crate) pairs: usize,
-    /// Faults to plant.
+    /// Faults to inject after the load, to test the checks themselves.
     pub(crate) plants: Vec<Plant>,
 }
 
-/// Runs a trial and counts what happened, at the stand-ins and at the callers.
+/// Runs a trial and checks the invariants against the counters of the stand-ins and the callers.
 ///
 /// # Errors
-/// [`Code::Internal`] when the stand-ins or the VMs do not come up; a broken invariant is no error
-/// here but stands in the report.
+/// [`Code::Internal`] if the stand-ins or the VMs do not start. A broken invariant is not an error;
+/// the report lists it.
 pub(crate) fn run(options: &Options) -> Result<Report, Failure> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(CALLER_THREADS)
         .enable_all()
         .build()
-        .map_err(|error| failed(&error))?;
-    let site = Site::start().map_err(|error| failed(&error))?;
-    let report = runtime.block_on(measure(options, &site));
-    site.stop();
+        .map_err(|error| internal_error(&error))?;
+    let cluster = Cluster::start().map_err(|error| internal_error(&error))?;
+    let report = runtime.block_on(run_trial(options, &cluster));
+    cluster.stop();
     report
 }
 
-async fn measure(options: &Options, site: &Site) -> Result<Report, Failure> {
-    site.ready().await?;
-    let paths = latency::measure(site, options.pairs, options.seed).await?;
-    let plans = plan::mix(options.seed, options.programs, options.spread);
-    let before = site.journal_appends().await?;
+async fn run_trial(options: &Options, cluster: &Cluster) -> Result<Report, Failure> {
+    cluster.wait_until_ready().await?;
+    let added_latency = latency::measure(cluster, options.pairs, options.seed).await?;
+    let plans = plan::draw_programs(options.seed, options.programs, options.spread);
+    let appends_before = cluster.journal_appends().await?;
     let started = Instant::now();
-    let outcomes = load(site, plans).await;
-    let took = started.elapsed();
-    let appends = site.journal_appends().await? - before;
+    let outcomes = run_load(cluster, plans).await;
+    let duration = started.elapsed();
+    let appends = cluster.journal_appends().await? - appends_before;
     for plant in &options.plants {
-        plant.put(site, &outcomes).await?;
+        plant.inject(cluster, &outcomes).await?;
     }
-    let audit = Audit::take(site, &outcomes).await?;
-    Ok(Report::new(Run {
+    let audit = Audit::collect(cluster, &outcomes).await?;
+    Ok(Report::new(Results {
         options: options.clone(),
-        took,
+        duration,
         appends,
         outcomes,
         audit,
-        paths,
+        added_latency,
     }))
 }
 
-async fn load(site: &Site, plans: Vec<Plan>) -> Vec<caller::Outcome> {
-    let bar = bar(plans.len());
-    let caller = Arc::new(Caller::new(site.entries()));
+async fn run_load(cluster: &Cluster, plans: Vec<Plan>) -> Vec<caller::Outcome> {
+    let progress = progress_bar(plans.len());
+    let caller = Arc::new(Caller::new(cluster.caller_addresses()));
     let tasks: Vec<_> = plans
         .into_iter()
         .map(|plan| {
-            let (caller, bar) = (caller.clone(), bar.clone());
+            let (caller, progress) = (caller.clone(), progress.clone());
             tokio::spawn(async move {
                 let outcome = caller.run(plan).await;
-                bar.inc(1);
+                progress.inc(1);
                 outcome
             })
         })
@@ -98,20 +99,20 @@
     for task in tasks {
         outcomes.push(task.await.expect("a caller does not panic"));
     }
-    bar.finish_and_clear();
+    progress.finish_and_clear();
     outcomes
 }
 
-/// A bar on standard error; it draws nothing unless that is a terminal.
-fn bar(length: usize) -> ProgressBar {
-    let bar = ProgressBar::with_draw_target(Some(length as u64), ProgressDrawTarget::stderr());
-    let style = ProgressStyle::with_template("{bar:40} {pos}/{len} programs over, {elapsed}");
+/// Progress bar on standard error; hidden if that is not a terminal.
+fn progress_bar(length: usize) -> ProgressBar {
+    let progress = ProgressBar::with_draw_target(Some(length as u64), ProgressDrawTarget::stderr());
+    let style = ProgressStyle::with_template("{bar:40} {pos}/{len} programs finished, {elapsed}");
     if let Ok(style) = style {
-        bar.set_style(style);
+        progress.set_style(style);
     }
-    bar
+    progress
 }
 
-fn failed(error: &std::io::Error) -> Failure {
+fn internal_error(error: &std::io::Error) -> Failure {
     Failure::refused(Code::Internal, error.to_string())
 }
--- a/src/trial/plan.rs
+++ b/src/trial/plan.rs
@@ -1,4 +1,4 @@
-//! The programs of a trial: their classes, their steps and when they start.
+//! Generates the programs of a trial: classes, steps and start times.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -6,19 +6,19 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A kind of program; each has a class of its own.
+/// Kind of a program; each kind has its own class in the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Kind {
-    /// A payroll clerk asks which levy applies.
+    /// A clerk asks which levy applies.
     Explainer,
-    /// An agent goes through a fleet and files receipts.
+    /// An agent assesses the cars of a fleet one by one and files a receipt.
     Assessment,
-    /// Member software draws an audit export; nobody waits.
+    /// A batch job writes an audit export; no caller waits for it.
     Export,
-    /// Two sides agree on a delivery slot.
+    /// A customer and an agent agree on a delivery slot.
     Negotiation,
-    /// Sub-agents find new slots for the stops of a van that dropped out.
+    /// Sub-agents book new slots for the stops of a cancelled van.
     Rework,
 }
 
@@ -31,7 +31,6 @@
         Self::Rework,
     ];
 
-    /// The name of its class.
     pub(super) const fn class(self) -> &'static str {
         match self {
             Self::Explainer => "explainer",
@@ -42,7 +41,7 @@
         }
     }
 
-    /// The target of its class.
+    /// Target duration of a program of the class.
     pub(super) const fn target(self) -> Duration {
         match self {
             Self::Explainer => Duration::from_millis(1500),
@@ -53,13 +52,13 @@
         }
     }
 
-    /// Whether a caller waits for it.
-    pub(super) const fn waits(self) -> bool {
+    /// Whether a caller waits for the result.
+    pub(super) const fn has_waiting_caller(self) -> bool {
         !matches!(self, Self::Export)
     }
 
-    /// Its share of the mix, in percent.
-    const fn share(self) -> u32 {
+    /// Share of the mix, in percent.
+    const fn share_percent(self) -> u32 {
         match self {
             Self::Explainer => 40,
             Self::Negotiation => 28,
@@ -69,13 +68,13 @@
         }
     }
 
-    fn draw(random: &mut StdRng) -> Self {
-        let mut left = random.random_range(0..100);
+    fn draw(rng: &mut StdRng) -> Self {
+        let mut remaining = rng.random_range(0..100);
         for kind in Self::ALL {
-            if left < kind.share() {
+            if remaining < kind.share_percent() {
                 return kind;
             }
-            left -= kind.share();
+            remaining -= kind.share_percent();
         }
         Self::Explainer
     }
@@ -87,176 +86,176 @@
     }
 }
 
-/// One step of a program.
 #[derive(Debug, Clone)]
 pub(super) enum Step {
-    /// The agent or the person takes a while.
+    /// Time between two calls, spent by the agent or a person.
     Pause(Duration),
-    /// A model call.
-    Model { text: String, max_tokens: u64 },
-    /// A service call.
+    Model {
+        text: String,
+        max_tokens: u64,
+    },
     Service {
         operation: &'static str,
         work: Duration,
     },
-    /// Sub-agents that run at once; the next step waits for all of them.
+    /// Sub-agents that run concurrently; the next step waits for all of them.
     Spawn(Vec<Vec<Step>>),
 }
 
-/// One program.
+/// Everything that one program will do.
 #[derive(Debug, Clone)]
 pub(super) struct Plan {
     pub(super) kind: Kind,
-    /// The opening key.
+    /// Idempotency key of the request that opens the program.
     pub(super) key: String,
-    /// When it is opened, from the start of the load.
-    pub(super) after: Duration,
+    /// Delay of the opening from the start of the load.
+    pub(super) start_delay: Duration,
     pub(super) steps: Vec<Step>,
 }
 
-/// The tokens that steps can take at most, those of sub-agents among them.
-pub(super) fn budget(steps: &[Step]) -> u64 {
-    let most = |step: &Step| match step {
+/// Upper bound of the tokens that the steps use, including sub-agents.
+pub(super) fn token_budget(steps: &[Step]) -> u64 {
+    let max_tokens_of = |step: &Step| match step {
         Step::Pause(_) | Step::Service { .. } => 0,
         Step::Model { text, max_tokens } => text.len() as u64 + 16 + max_tokens,
-        Step::Spawn(children) => children.iter().map(|child| budget(child)).sum(),
+        Step::Spawn(children) => children.iter().map(|child| token_budget(child)).sum(),
     };
-    steps.iter().map(most).sum()
+    steps.iter().map(max_tokens_of).sum()
 }
 
-/// A mix of `count` programs that start within `spread`; the same for the same seed.
-pub(super) fn mix(seed: u64, count: usize, spread: Duration) -> Vec<Plan> {
-    let mut random = StdRng::seed_from_u64(seed);
-    let spread = u64::try_from(spread.as_millis()).unwrap_or(u64::MAX);
+/// Draws `count` programs that start within `arrival_window`; deterministic for a seed.
+pub(super) fn draw_programs(seed: u64, count: usize, arrival_window: Duration) -> Vec<Plan> {
+    let mut rng = StdRng::seed_from_u64(seed);
+    let arrival_window = u64::try_from(arrival_window.as_millis()).unwrap_or(u64::MAX);
     let plans = (0..count).map(|index| {
-        let kind = Kind::draw(&mut random);
+        let kind = Kind::draw(&mut rng);
         Plan {
             kind,
             key: format!("{kind}-{seed}-{index}"),
-            after: Duration::from_millis(random.random_range(0..spread.max(1))),
-            steps: steps(kind, index, &mut random),
+            start_delay: Duration::from_millis(rng.random_range(0..arrival_window.max(1))),
+            steps: steps(kind, index, &mut rng),
         }
     });
     plans.collect()
 }
 
-fn steps(kind: Kind, index: usize, random: &mut StdRng) -> Vec<Step> {
+fn steps(kind: Kind, index: usize, rng: &mut StdRng) -> Vec<Step> {
     match kind {
-        Kind::Explainer => explainer(index, random),
-        Kind::Assessment => assessment(index, random),
-        Kind::Export => export(random),
-        Kind::Negotiation => negotiation(index, random),
-        Kind::Rework => rework(index, random),
+        Kind::Explainer => explainer_steps(index, rng),
+        Kind::Assessment => assessment_steps(index, rng),
+        Kind::Export => export_steps(rng),
+        Kind::Negotiation => negotiation_steps(index, rng),
+        Kind::Rework => rework_steps(index, rng),
     }
 }
 
-fn explainer(index: usize, random: &mut StdRng) -> Vec<Step> {
-    let question = format!("{GUIDE}\nClerk {index} asks: which levy applies to this car?");
+fn explainer_steps(index: usize, rng: &mut StdRng) -> Vec<Step> {
+    let question = format!("{TAX_PROMPT}\nClerk {index} asks: which levy applies to this car?");
     let mut steps = vec![
-        model(question, random, 20..50),
-        service("rates", 40, random),
+        model_call(question, rng, 20..50),
+        service_call("rates", 40, rng),
     ];
-    steps.push(model(
+    steps.push(model_call(
         "The rate table is above; explain it.".to_owned(),
-        random,
+        rng,
         30..70,
     ));
-    if random.random_bool(0.3) {
-        steps.push(pause(random, 100..400));
-        steps.push(model("And for a van?".to_owned(), random, 20..50));
+    if rng.random_bool(0.3) {
+        steps.push(pause(rng, 100..400));
+        steps.push(model_call("And for a van?".to_owned(), rng, 20..50));
     }
     steps
 }
 
-fn assessment(index: usize, random: &mut StdRng) -> Vec<Step> {
-    let opening = format!("{GUIDE}\nAssess the fleet of employer {index}.");
-    let mut steps = vec![model(opening, random, 60..120)];
-    for car in 0..random.random_range(3..7) {
-        steps.push(service("rates", 60, random));
-        steps.push(pause(random, 50..200));
+fn assessment_steps(index: usize, rng: &mut StdRng) -> Vec<Step> {
+    let opening = format!("{TAX_PROMPT}\nAssess the fleet of employer {index}.");
+    let mut steps = vec![model_call(opening, rng, 60..120)];
+    for car in 0..rng.random_range(3..7) {
+        steps.push(service_call("rates", 60, rng));
+        steps.push(pause(rng, 50..200));
         let text = format!("Car {car}: list price, fuel and private use are as in the file.");
-        steps.push(model(text, random, 40..100));
+        steps.push(model_call(text, rng, 40..100));
     }
-    steps.push(service("receipt", 120, random));
-    steps.push(model(
+    steps.push(service_call("receipt", 120, rng));
+    steps.push(model_call(
         "The receipt is filed; sum up.".to_owned(),
-        random,
+        rng,
         40..80,
     ));
     steps
 }
 
-fn export(random: &mut StdRng) -> Vec<Step> {
+fn export_steps(rng: &mut StdRng) -> Vec<Step> {
     let mut steps = Vec::new();
-    for page in 0..random.random_range(4..9) {
-        steps.push(service("rates", 150, random));
-        let text = format!("{GUIDE}\nWrite page {page} of the audit export.");
-        steps.push(model(text, random, 120..240));
+    for page in 0..rng.random_range(4..9) {
+        steps.push(service_call("rates", 150, rng));
+        let text = format!("{TAX_PROMPT}\nWrite page {page} of the audit export.");
+        steps.push(model_call(text, rng, 120..240));
     }
     steps
 }
 
-fn negotiation(index: usize, random: &mut StdRng) -> Vec<Step> {
-    let opening = format!("{CARRIER}\nCustomer {index} wants a slot for a sofa.");
-    let mut steps = vec![model(opening, random, 20..50)];
-    for _ in 0..random.random_range(1..4) {
-        steps.push(pause(random, 100..500));
+fn negotiation_steps(index: usize, rng: &mut StdRng) -> Vec<Step> {
+    let opening = format!("{DELIVERY_PROMPT}\nCustomer {index} wants a slot for a sofa.");
+    let mut steps = vec![model_call(opening, rng, 20..50)];
+    for _ in 0..rng.random_range(1..4) {
+        steps.push(pause(rng, 100..500));
         let text = "That is too late for the customer; offer another slot.".to_owned();
-        steps.push(model(text, random, 20..50));
+        steps.push(model_call(text, rng, 20..50));
     }
-    steps.push(service("confirm", 80, random));
-    steps.push(model(
+    steps.push(service_call("confirm", 80, rng));
+    steps.push(model_call(
         "The slot is confirmed; tell the customer.".to_owned(),
-        random,
+        rng,
         15..30,
     ));
     steps
 }
 
-fn rework(index: usize, random: &mut StdRng) -> Vec<Step> {
-    let opening = format!("{CARRIER}\nVan {index} dropped out; split its stops.");
-    let children = (0..random.random_range(2..4)).map(|stop| {
-        let text = format!("{CARRIER}\nFind a new slot for stop {stop} of van {index}.");
+fn rework_steps(index: usize, rng: &mut StdRng) -> Vec<Step> {
+    let opening = format!("{DELIVERY_PROMPT}\nVan {index} dropped out; split its stops.");
+    let children = (0..rng.random_range(2..4)).map(|stop| {
+        let text = format!("{DELIVERY_PROMPT}\nFind a new slot for stop {stop} of van {index}.");
         vec![
-            model(text, random, 30..60),
-            service("book", 80, random),
-            model("The booking is held; note it.".to_owned(), random, 15..30),
+            model_call(text, rng, 30..60),
+            service_call("book", 80, rng),
+            model_call("The booking is held; note it.".to_owned(), rng, 15..30),
         ]
     });
     let children = children.collect();
     vec![
-        model(opening, random, 40..80),
+        model_call(opening, rng, 40..80),
         Step::Spawn(children),
-        model(
+        model_call(
             "All stops have a slot; write the new route.".to_owned(),
-            random,
+            rng,
             40..80,
         ),
-        service("confirm", 80, random),
+        service_call("confirm", 80, rng),
     ]
 }
 
-fn model(text: String, random: &mut StdRng, tokens: std::ops::Range<u64>) -> Step {
-    let max_tokens = random.random_range(tokens);
+fn model_call(text: String, rng: &mut StdRng, max_tokens_range: std::ops::Range<u64>) -> Step {
+    let max_tokens = rng.random_range(max_tokens_range);
     Step::Model { text, max_tokens }
 }
 
-fn service(operation: &'static str, about_ms: u64, random: &mut StdRng) -> Step {
-    let work = Duration::from_millis(random.random_range(about_ms / 2..about_ms * 2));
+fn service_call(operation: &'static str, typical_ms: u64, rng: &mut StdRng) -> Step {
+    let work = Duration::from_millis(rng.random_range(typical_ms / 2..typical_ms * 2));
     Step::Service { operation, work }
 }
 
-fn pause(random: &mut StdRng, milliseconds: std::ops::Range<u64>) -> Step {
-    Step::Pause(Duration::from_millis(random.random_range(milliseconds)))
+fn pause(rng: &mut StdRng, range_ms: std::ops::Range<u64>) -> Step {
+    Step::Pause(Duration::from_millis(rng.random_range(range_ms)))
 }
 
-/// What every program of the tax side starts with.
-const GUIDE: &str = "You help payroll clerks and tax agents with the benefit in kind of company \
+/// System prompt of the tax programs.
+const TAX_PROMPT: &str = "You help payroll clerks and tax agents with the benefit in kind of company \
     cars. Name the rate, the rule that it comes from and the month from which it applies. Work \
     from the rate table that the tool gives, never from memory. Round down to whole pesewas. Where \
     private use is not stated, ask for it. Where a car is shared, split the benefit by days.";
-/// What every program of the delivery side starts with.
-const CARRIER: &str = "You agree delivery slots for furniture and appliances. Offer two slots at \
+/// System prompt of the delivery programs.
+const DELIVERY_PROMPT: &str = "You agree delivery slots for furniture and appliances. Offer two slots at \
     most at a time. A slot holds for one address and one crew. Stairs without a lift add half an \
     hour. Never promise a slot that the booking tool has not confirmed. Keep answers short: the \
     customer is on the phone.";
--- a/src/trial/report.rs
+++ b/src/trial/report.rs
@@ -1,27 +1,27 @@
-//! The report of a trial, for a person and for a machine.
+//! The report of a trial, as text and as JSON.
 
 use super::Options;
 use super::audit::Audit;
-use super::caller::{Outcome, Seen};
-use super::latency::Paths;
+use super::caller::{CallRecord, Outcome};
+use super::latency::AddedLatency;
 use super::plan::Kind;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::fmt;
 use std::time::Duration;
 
-/// What was counted.
+/// Input of the report.
 #[derive(Debug)]
-pub(super) struct Run {
+pub(super) struct Results {
     pub(super) options: Options,
-    pub(super) took: Duration,
+    pub(super) duration: Duration,
     pub(super) appends: u64,
     pub(super) outcomes: Vec<Outcome>,
     pub(super) audit: Audit,
-    pub(super) paths: Paths,
+    pub(super) added_latency: AddedLatency,
 }
 
-/// The programs of one class.
+/// Figures of the programs of one class.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 struct Row {
     class: Kind,
@@ -38,7 +38,7 @@
     answers_lost: u64,
 }
 
-/// Something that must always hold, and how often it did not.
+/// Invariant, and how often it was broken.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 struct Invariant {
     name: &'static str,
@@ -46,7 +46,7 @@
     of: u64,
 }
 
-/// The report of a trial.
+/// Result of a trial.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(crate) struct Report {
     seed: u64,
@@ -57,32 +57,35 @@
     calls: u64,
     appends: u64,
     appends_per_call: f64,
-    path: Paths,
+    path: AddedLatency,
     invariants: Vec<Invariant>,
 }
 
 impl Report {
-    pub(super) fn new(run: Run) -> Self {
-        let calls = answered(&run);
-        let failures = run.outcomes.iter().filter_map(|outcome| {
+    pub(super) fn new(results: Results) -> Self {
+        let calls = answered_calls(&results);
+        let failures = results.outcomes.iter().filter_map(|outcome| {
             let failure = outcome.failure.as_ref()?;
             Some(format!("{}: {failure}", outcome.kind))
         });
         Self {
-            seed: run.options.seed,
-            programs: run.options.programs,
-            took_ms: ms(run.took),
-            classes: Kind::ALL.into_iter().map(|kind| row(&run, kind)).collect(),
+            seed: results.options.seed,
+            programs: results.options.programs,
+            took_ms: ms(results.duration),
+            classes: Kind::ALL
+                .into_iter()
+                .map(|kind| row(&results, kind))
+                .collect(),
             failures: failures.collect(),
             calls,
-            appends: run.appends,
-            appends_per_call: run.appends as f64 / calls.max(1) as f64,
-            invariants: invariants(&run),
-            path: run.paths,
+            appends: results.appends,
+            appends_per_call: results.appends as f64 / calls.max(1) as f64,
+            invariants: invariants(&results),
+            path: results.added_latency,
         }
     }
 
-    /// Whether everything held that must always hold.
+    /// Whether no invariant was broken.
     pub(crate) fn holds(&self) -> bool {
         self.invariants
             .iter()
@@ -94,30 +97,41 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn calls(run: &Run) -> impl Iterator<Item = &Seen> {
-    run.outcomes.iter().flat_map(|outcome| &outcome.trace.calls)
+fn calls(results: &Results) -> impl Iterator<Item = &CallRecord> {
+    results
+        .outcomes
+        .iter()
+        .flat_map(|outcome| &outcome.trace.calls)
 }
 
-fn count<T>(all: impl Iterator<Item = T>, counts: impl Fn(&T) -> bool) -> u64 {
-    all.filter(counts).count() as u64
+fn count<T>(all: impl Iterator<Item = T>, predicate: impl Fn(&T) -> bool) -> u64 {
+    all.filter(predicate).count() as u64
 }
 
-fn answered(run: &Run) -> u64 {
-    count(calls(run), |seen| seen.ended.is_ok())
+fn answered_calls(results: &Results) -> u64 {
+    count(calls(results), |call| call.result.is_ok())
 }
 
-fn row(run: &Run, kind: Kind) -> Row {
-    let of_kind = || run.outcomes.iter().filter(|outcome| outcome.kind == kind);
+fn row(results: &Results, kind: Kind) -> Row {
+    let of_kind = || {
+        results
+            .outcomes
+            .iter()
+            .filter(|outcome| outcome.kind == kind)
+    };
     let calls = || of_kind().flat_map(|outcome| &outcome.trace.calls);
-    let mut times = Histogram::<u64>::new(3).expect("three digits are allowed");
+    let mut durations = Histogram::<u64>::new(3).expect("three significant digits are supported");
     for outcome in of_kind() {
-        times.record(ms(outcome.took)).expect("the histogram grows");
+        durations
+            .record(ms(outcome.duration))
+            .expect("an auto-resizing histogram accepts every value");
     }
-    let in_target = |outcome: &&Outcome| outcome.failure.is_none() && outcome.took <= kind.target();
-    let held = |outcome: &Outcome| -> u64 {
+    let in_target =
+        |outcome: &&Outcome| outcome.failure.is_none() && outcome.duration <= kind.target();
+    let cached_tokens = |outcome: &Outcome| -> u64 {
         let programs = outcome.trace.programs.iter();
         programs
-            .filter_map(|program| run.audit.held.get(program))
+            .filter_map(|program| results.audit.cached_tokens.get(program))
             .sum()
     };
     Row {
@@ -126,67 +140,72 @@
         programs: of_kind().count() as u64,
         failed: count(of_kind(), |outcome| outcome.failure.is_some()),
         in_target: count(of_kind(), in_target),
-        p50_ms: times.value_at_quantile(0.5),
-        p95_ms: times.value_at_quantile(0.95),
+        p50_ms: durations.value_at_quantile(0.5),
+        p95_ms: durations.value_at_quantile(0.95),
         prompt_tokens: of_kind().map(|outcome| outcome.trace.prompt_tokens).sum(),
         cached_tokens: of_kind().map(|outcome| outcome.trace.cached_tokens).sum(),
-        held_tokens: of_kind().map(held).sum(),
-        effects_doubled: count(calls(), |seen| run.audit.doubled(seen)),
-        answers_lost: count(calls(), |seen| seen.ended.is_err()),
+        held_tokens: of_kind().map(cached_tokens).sum(),
+        effects_doubled: count(calls(), |call| results.audit.ran_twice(call)),
+        answers_lost: count(calls(), |call| call.result.is_err()),
     }
 }
 
-fn invariants(run: &Run) -> Vec<Invariant> {
-    let made = calls(run).count() as u64;
-    let once = count(calls(run), |seen| seen.once);
-    let broken = |breaks: &dyn Fn(&Seen) -> bool| count(calls(run), |seen| breaks(seen));
-    let programs = run
+fn invariants(results: &Results) -> Vec<Invariant> {
+    let all_calls = calls(results).count() as u64;
+    let at_most_once = count(calls(results), |call| call.at_most_once);
+    let broken =
+        |predicate: &dyn Fn(&CallRecord) -> bool| count(calls(results), |call| predicate(call));
+    let programs = results
         .outcomes
         .iter()
         .map(|outcome| outcome.trace.programs.len() as u64)
         .sum();
-    let overspent = run
+    let over_budget = results
         .outcomes
         .iter()
-        .map(|outcome| outcome.trace.overspent)
+        .map(|outcome| outcome.trace.over_budget)
         .sum();
     let invariant = |name, broken, of| Invariant { name, broken, of };
     vec![
         invariant(
             "effects run twice",
-            broken(&|seen| run.audit.doubled(seen)),
-            once,
+            broken(&|call| results.audit.ran_twice(call)),
+            at_most_once,
         ),
         invariant(
             "effects confirmed but not run",
-            broken(&|seen| run.audit.unfounded(seen)),
-            once,
+            broken(&|call| results.audit.confirmed_but_not_run(call)),
+            at_most_once,
         ),
         invariant(
             "calls refused as not run that ran",
-            broken(&|seen| run.audit.ran_though_refused(seen)),
-            once,
+            broken(&|call| results.audit.ran_though_refused(call)),
+            at_most_once,
+        ),
+        invariant(
+            "answers lost",
+            broken(&|call| call.result.is_err()),
+            all_calls,
         ),
-        invariant("answers lost", broken(&|seen| seen.ended.is_err()), made),
         invariant(
             "answers that changed when read again",
-            run.audit.changed,
-            answered(run),
+            results.audit.changed_answers,
+            answered_calls(results),
         ),
         invariant(
             "streams that were not the whole answer",
-            broken(&|seen| seen.incomplete),
-            made,
+            broken(&|call| call.incomplete),
+            all_calls,
         ),
         invariant(
             "histories mixed, lost or out of order",
-            broken(&|seen| seen.mixed),
-            made,
+            broken(&|call| call.wrong_history),
+            all_calls,
         ),
-        invariant("budgets passed", overspent, programs),
+        invariant("budgets passed", over_budget, programs),
         invariant(
             "ended programs that still hold memory",
-            run.audit.held.len() as u64,
+            results.audit.cached_tokens.len() as u64,
             programs,
         ),
     ]
@@ -194,7 +213,7 @@
 
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let share = self.cached_tokens as f64 * 100.0 / self.prompt_tokens.max(1) as f64;
+        let cached_percent = self.cached_tokens as f64 * 100.0 / self.prompt_tokens.max(1) as f64;
         write!(
             f,
             "{:<12} {:>8} {:>8} {:>6} {:>9} {:>8} {:>8} {:>7.1}% {:>6} {:>8} {:>6}",
@@ -205,7 +224,7 @@
             self.in_target,
             self.p50_ms,
             self.p95_ms,
-            share,
+            cached_percent,
             self.held_tokens,
             self.effects_doubled,
             self.answers_lost
@@ -246,16 +265,16 @@
             "\n{} appends, {:.2} per finished call",
             self.appends, self.appends_per_call
         )?;
-        writeln!(f, "{}\n", Added(&self.path))?;
+        writeln!(f, "{}\n", AddedLatencyLine(&self.path))?;
         for invariant in &self.invariants {
-            let verdict = if invariant.broken == 0 {
+            let status = if invariant.broken == 0 {
                 "holds "
             } else {
                 "BROKEN"
             };
             writeln!(
                 f,
-                "{verdict} {}: {} of {}",
+                "{status} {}: {} of {}",
                 invariant.name, invariant.broken, invariant.of
             )?;
         }
@@ -266,21 +285,21 @@
     }
 }
 
-/// The line on what the path adds.
-struct Added<'a>(&'a Paths);
+/// Report line on the added latency.
+struct AddedLatencyLine<'a>(&'a AddedLatency);
 
-impl fmt::Display for Added<'_> {
+impl fmt::Display for AddedLatencyLine<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let paths = self.0;
+        let added_latency = self.0;
         write!(
             f,
-            "the path adds to a model call, over {} pairs: first token p50 {:.1} ms, p95 {:.1} ms; \
+            "latency that a VM adds to a model call, over {} pairs: first token p50 {:.1} ms, p95 {:.1} ms; \
              end p50 {:.1} ms, p95 {:.1} ms",
-            paths.pairs,
-            paths.added_first_ms.p50,
-            paths.added_first_ms.p95,
-            paths.added_end_ms.p50,
-            paths.added_end_ms.p95
+            added_latency.pairs,
+            added_latency.added_first_ms.p50,
+            added_latency.added_first_ms.p95,
+            added_latency.added_end_ms.p50,
+            added_latency.added_end_ms.p95
         )
     }
 }
