--- a/benches/control/exchange.rs
+++ b/benches/control/exchange.rs
@@ -22,7 +22,7 @@
 pub type Datagram = (SocketAddr, Vec<u8>);
 
 /// One instance of a membership protocol.
-pub trait Peer {
+pub trait Protocol {
     /// Does what is due.
     fn tick(&mut self, now: Instant) -> Vec<Datagram>;
     /// Takes in a datagram.
@@ -30,25 +30,25 @@
     /// What it holds of the others.
     fn view(&mut self, now: Instant) -> View;
     /// Takes in what its VM says of itself.
-    fn local(&mut self, beat: &Beat);
+    fn local(&mut self, announcement: &Beat);
 }
 
 /// The protocol of the library, sealed as on the wire.
-pub struct Sealed {
+pub struct Peer {
     pub gossip: Gossip,
     sealer: Sealer,
 }
 
-impl Sealed {
+impl Peer {
     pub fn new(
         now: Instant,
-        beat: Beat,
+        announcement: Beat,
         incarnation: u64,
         seeds: Vec<SocketAddr>,
         seed: u64,
     ) -> Self {
         Self {
-            gossip: Gossip::new(now, beat, Incarnation(incarnation), seeds, seed),
+            gossip: Gossip::new(now, announcement, Incarnation(incarnation), seeds, seed),
             sealer: Sealer::new("a key for tests only"),
         }
     }
@@ -62,7 +62,7 @@
     }
 }
 
-impl Peer for Sealed {
+impl Protocol for Peer {
     fn tick(&mut self, now: Instant) -> Vec<Datagram> {
         let actions = self.gossip.tick(now);
         self.seal(actions)
@@ -78,16 +78,16 @@
         self.gossip.view(now)
     }
 
-    fn local(&mut self, beat: &Beat) {
-        self.gossip.local(beat);
+    fn local(&mut self, announcement: &Beat) {
+        self.gossip.local(announcement);
     }
 }
 
 /// A VM of the exchange.
 pub struct Node<P> {
     pub peer: P,
-    pub beat: Beat,
-    pub up: bool,
+    pub announcement: Beat,
+    pub running: bool,
     /// Stands still until then; its datagrams wait.
     paused: Option<Instant>,
     pub sent: u64,
@@ -112,7 +112,7 @@
 pub type Cut = Box<dyn Fn(usize, usize) -> bool>;
 
 /// The exchange.
-pub struct Exchange<P> {
+pub struct Network<P> {
     pub nodes: Vec<Node<P>>,
     pub now: Instant,
     pub loss: f64,
@@ -140,15 +140,15 @@
     }
 }
 
-pub fn name(index: usize) -> Vm {
+pub fn vm_name(index: usize) -> Vm {
     format!("vm-{index:03}").parse().expect("a plain name")
 }
 
 /// What a VM with its part of `shards` shards among `size` VMs says of itself.
-pub fn beat(index: usize, size: usize, shards: u64) -> Beat {
+pub fn announcement(index: usize, size: usize, shards: u64) -> Beat {
     let held = (0..shards).filter(|shard| *shard % size as u64 == index as u64);
     Beat {
-        vm: name(index),
+        vm: vm_name(index),
         zone: format!("zone-{}", index % ZONES)
             .parse()
             .expect("a plain name"),
@@ -163,16 +163,16 @@
     }
 }
 
-impl Exchange<Sealed> {
+impl Network<Peer> {
     /// VMs that run the gossip, one seed in each zone, owning `shards` shards between them.
     pub fn gossip(size: usize, shards: u64, seed: u64) -> Self {
         let now = Instant::now();
         let seeds: Vec<SocketAddr> = (0..ZONES.min(size)).map(address).collect();
         let peers = (0..size).map(|index| {
-            let beat = beat(index, size, shards);
+            let announcement = announcement(index, size, shards);
             let seed = seed.wrapping_mul(1000).wrapping_add(index as u64);
-            let peer = Sealed::new(now, beat.clone(), 1_000_000, seeds.clone(), seed);
-            (beat, peer)
+            let peer = Peer::new(now, announcement.clone(), 1_000_000, seeds.clone(), seed);
+            (announcement, peer)
         });
         Self::new(now, peers.collect(), seed)
     }
@@ -183,17 +183,17 @@
         let seed = self.rng.random();
         let now = self.now;
         let node = &mut self.nodes[index];
-        node.beat.boot = Boot(node.beat.boot.0 + 1000);
-        node.beat.held.clear();
-        node.peer = Sealed::new(now, node.beat.clone(), incarnation, seeds, seed);
-        node.up = true;
+        node.announcement.boot = Boot(node.announcement.boot.0 + 1000);
+        node.announcement.held.clear();
+        node.peer = Peer::new(now, node.announcement.clone(), incarnation, seeds, seed);
+        node.running = true;
         node.paused = None;
     }
 
     /// Events at all VMs that are up.
     pub fn counts(&self) -> Counts {
-        let up = self.nodes.iter().filter(|node| node.up);
-        up.fold(Counts::default(), |sum, node| {
+        let running = self.nodes.iter().filter(|node| node.running);
+        running.fold(Counts::default(), |sum, node| {
             let counts = node.peer.gossip.counts();
             Counts {
                 suspicions: sum.suspicions + counts.suspicions,
@@ -204,12 +204,12 @@
     }
 }
 
-impl<P: Peer> Exchange<P> {
+impl<P: Protocol> Network<P> {
     pub fn new(now: Instant, peers: Vec<(Beat, P)>, seed: u64) -> Self {
-        let node = |(beat, peer)| Node {
+        let node = |(announcement, peer)| Node {
             peer,
-            beat,
-            up: true,
+            announcement,
+            running: true,
             paused: None,
             sent: 0,
             sent_bytes: 0,
@@ -218,7 +218,7 @@
             largest: 0,
             spent: Duration::ZERO,
         };
-        let mut exchange = Self {
+        let mut network = Self {
             nodes: peers.into_iter().map(node).collect(),
             now,
             loss: 0.0,
@@ -229,12 +229,12 @@
             started: now,
             last: 0,
         };
-        for index in 0..exchange.nodes.len() {
-            let phase = exchange.rng.random_range(0..TICK.as_micros());
+        for index in 0..network.nodes.len() {
+            let phase = network.rng.random_range(0..TICK.as_micros());
             let phase = Duration::from_micros(u64::try_from(phase).expect("a small number"));
-            exchange.push(now + phase, Event::Tick(index));
+            network.push(now + phase, Event::Tick(index));
         }
-        exchange
+        network
     }
 
     fn push(&mut self, at: Instant, event: Event) {
@@ -243,16 +243,16 @@
     }
 
     /// Cuts the datagrams that `cut` names, from now on.
-    pub fn cut(&mut self, cut: impl Fn(usize, usize) -> bool + 'static) {
+    pub fn partition(&mut self, cut: impl Fn(usize, usize) -> bool + 'static) {
         self.cut = Box::new(cut);
     }
 
     pub fn heal(&mut self) {
-        self.cut(|_, _| false);
+        self.partition(|_, _| false);
     }
 
     pub fn kill(&mut self, index: usize) {
-        self.nodes[index].up = false;
+        self.nodes[index].running = false;
     }
 
     /// The process stands still for a while; what arrives waits in its socket.
@@ -261,10 +261,10 @@
     }
 
     /// Changes what a VM says of itself.
-    pub fn tell(&mut self, index: usize, change: impl FnOnce(&mut Beat)) {
+    pub fn update(&mut self, index: usize, change: impl FnOnce(&mut Beat)) {
         let node = &mut self.nodes[index];
-        change(&mut node.beat);
-        node.peer.local(&node.beat);
+        change(&mut node.announcement);
+        node.peer.local(&node.announcement);
     }
 
     pub fn view(&mut self, index: usize) -> View {
@@ -273,11 +273,11 @@
     }
 
     /// Whether `good` holds of the view of every VM that is up.
-    pub fn all(&mut self, good: impl Fn(&View) -> bool) -> bool {
+    pub fn all_views(&mut self, good: impl Fn(&View) -> bool) -> bool {
         // The VM that failed the last check is asked first: a view of every VM is costly.
         let size = self.nodes.len();
         for index in (self.last..size).chain(0..self.last) {
-            if self.nodes[index].up && !good(&self.view(index)) {
+            if self.nodes[index].running && !good(&self.view(index)) {
                 self.last = index;
                 return false;
             }
@@ -285,14 +285,14 @@
         true
     }
 
-    pub fn up(&self) -> usize {
-        self.nodes.iter().filter(|node| node.up).count()
+    pub fn running(&self) -> usize {
+        self.nodes.iter().filter(|node| node.running).count()
     }
 
     /// Whether everybody holds exactly the VMs that are up.
-    pub fn whole(&mut self) -> bool {
-        let up = self.up();
-        self.all(|view| view.members.len() == up)
+    pub fn is_converged(&mut self) -> bool {
+        let running = self.running();
+        self.all_views(|view| view.members.len() == running)
     }
 
     /// Lets time pass.
@@ -311,7 +311,7 @@
     }
 
     /// Lets time pass until `good`, looking every 50 ms; the time that it took.
-    pub fn until(
+    pub fn run_until(
         &mut self,
         limit: Duration,
         mut good: impl FnMut(&mut Self) -> bool,
@@ -341,7 +341,7 @@
                     return;
                 }
                 let node = &mut self.nodes[to];
-                if node.up {
+                if node.running {
                     node.received += 1;
                     node.received_bytes += (datagram.len() + HEADERS) as u64;
                 }
@@ -353,7 +353,7 @@
 
     fn step(&mut self, index: usize, act: impl FnOnce(&mut P) -> Vec<Datagram>) {
         let node = &mut self.nodes[index];
-        if !node.up || node.paused.is_some_and(|until| until > self.now) {
+        if !node.running || node.paused.is_some_and(|until| until > self.now) {
             return;
         }
         let start = std::time::Instant::now();
--- a/benches/control/heartbeats.rs
+++ b/benches/control/heartbeats.rs
@@ -1,6 +1,6 @@
 //! The baseline: each VM sends all that it says of itself to every other, five times a second.
 
-use crate::exchange::{Datagram, Peer};
+use crate::exchange::{Datagram, Protocol};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -46,7 +46,7 @@
     }
 }
 
-impl Peer for Heartbeats {
+impl Protocol for Heartbeats {
     fn tick(&mut self, now: Instant) -> Vec<Datagram> {
         if now < self.due {
             return Vec::new();
--- a/benches/control/measure.rs
+++ b/benches/control/measure.rs
@@ -1,6 +1,6 @@
 //! What is measured at each size.
 
-use crate::exchange::{Exchange, Peer, Sealed, address, beat};
+use crate::exchange::{Network, Peer, Protocol, address, announcement};
 use crate::heartbeats::Heartbeats;
 use serde_json::{Map, Value, json};
 use std::net::SocketAddr;
@@ -50,43 +50,43 @@
     let started = std::time::Instant::now();
     let shards = SHARDS * size as u64;
     let memory = resident();
-    let mut exchange = Exchange::gossip(size, shards, 1);
+    let mut network = Network::gossip(size, shards, 1);
     let mut row = Map::new();
     row.insert("way".into(), json!("gossip"));
     row.insert("vms".into(), json!(size));
-    let joined = exchange.until(LIMIT, Exchange::whole);
+    let joined = network.run_until(LIMIT, Network::is_converged);
     row.insert("join_s".into(), time(joined));
-    let owned = exchange.until(LIMIT, |exchange| {
-        exchange.all(|view| (0..shards).all(|shard| view.owner(Shard(shard)).is_some()))
+    let owned = network.run_until(LIMIT, |network| {
+        network.all_views(|view| (0..shards).all(|shard| view.owner(Shard(shard)).is_some()))
     });
     row.insert(
         "all_claims_known_s".into(),
-        time(owned.and(Some(exchange.elapsed()))),
+        time(owned.and(Some(network.elapsed()))),
     );
-    exchange.run(scenario.settle);
-    steady(&mut exchange, scenario.steady, &mut row);
+    network.run(scenario.settle);
+    steady(&mut network, scenario.steady, &mut row);
     row.insert(
         "memory_kb".into(),
         json!((resident() - memory) / size as u64),
     );
-    changes(&mut exchange, &mut row);
-    leaving(&mut exchange, &mut row);
-    failures(&mut exchange, scenario, &mut row);
+    changes(&mut network, &mut row);
+    leaving(&mut network, &mut row);
+    failures(&mut network, scenario, &mut row);
     if size <= LARGE {
-        faults(&mut exchange, scenario, &mut row);
+        faults(&mut network, scenario, &mut row);
     }
-    let largest = exchange.nodes.iter().map(|node| node.largest).max();
+    let largest = network.nodes.iter().map(|node| node.largest).max();
     row.insert("largest_datagram".into(), json!(largest));
     row.insert("measured_in_s".into(), time(Some(started.elapsed())));
     Value::Object(row)
 }
 
 /// Loss, and a cut between the regions.
-fn faults(exchange: &mut Exchange<Sealed>, scenario: Scenario, row: &mut Map<String, Value>) {
+fn faults(network: &mut Network<Peer>, scenario: Scenario, row: &mut Map<String, Value>) {
     for (name, loss) in [("loss_5", 0.05), ("loss_20", 0.2)] {
-        lossy(exchange, (name, loss), scenario, row);
+        lossy(network, (name, loss), scenario, row);
     }
-    partition(exchange, row);
+    partition(network, row);
 }
 
 /// Figures of full heartbeats at one size, over a shorter time since they are so many.
@@ -96,49 +96,52 @@
     let seeds: Vec<SocketAddr> = (0..size).map(address).collect();
     let memory = resident();
     let peers = (0..size).map(|index| {
-        let beat = beat(index, size, SHARDS * size as u64);
-        (beat.clone(), Heartbeats::new(now, beat, seeds.clone()))
+        let announcement = announcement(index, size, SHARDS * size as u64);
+        (
+            announcement.clone(),
+            Heartbeats::new(now, announcement, seeds.clone()),
+        )
     });
-    let mut exchange = Exchange::new(now, peers.collect(), 1);
+    let mut network = Network::new(now, peers.collect(), 1);
     let mut row = Map::new();
     row.insert("way".into(), json!("heartbeats"));
     row.insert("vms".into(), json!(size));
     row.insert(
         "join_s".into(),
-        time(exchange.until(LIMIT, Exchange::whole)),
+        time(network.run_until(LIMIT, Network::is_converged)),
     );
-    exchange.run(Duration::from_secs(1));
-    steady(&mut exchange, Duration::from_secs(2), &mut row);
+    network.run(Duration::from_secs(1));
+    steady(&mut network, Duration::from_secs(2), &mut row);
     row.insert(
         "memory_kb".into(),
         json!((resident() - memory) / size as u64),
     );
     if size <= LARGE {
-        changes(&mut exchange, &mut row);
-        exchange.kill(size / 2);
+        changes(&mut network, &mut row);
+        network.kill(size / 2);
         row.insert(
             "failure_known_max_s".into(),
-            time(exchange.until(LIMIT, Exchange::whole)),
+            time(network.run_until(LIMIT, Network::is_converged)),
         );
     }
     Value::Object(row)
 }
 
 /// Traffic and processor time with a configuration that changes at the target's rate.
-fn steady<P: Peer>(exchange: &mut Exchange<P>, time: Duration, row: &mut Map<String, Value>) {
-    exchange.reset();
+fn steady<P: Protocol>(network: &mut Network<P>, time: Duration, row: &mut Map<String, Value>) {
+    network.reset();
     let mut applied = 1_000_000;
-    let start = exchange.now;
-    while exchange.now - start < time {
+    let start = network.now;
+    while network.now - start < time {
         applied += 1;
-        for index in 0..exchange.nodes.len() {
-            exchange.tell(index, |beat| beat.applied = Offset(applied));
+        for index in 0..network.nodes.len() {
+            network.update(index, |announcement| announcement.applied = Offset(applied));
         }
-        exchange.run(CHANGE.min(time));
+        network.run(CHANGE.min(time));
     }
-    let seconds = (exchange.now - start).as_secs_f64();
-    let size = exchange.nodes.len() as f64;
-    let nodes = || exchange.nodes.iter();
+    let seconds = (network.now - start).as_secs_f64();
+    let size = network.nodes.len() as f64;
+    let nodes = || network.nodes.iter();
     let mean = |total: u64| json!(round(total as f64 / seconds / size));
     row.insert(
         "sent_bytes_s".into(),
@@ -166,28 +169,30 @@
 }
 
 /// Time until all know of a configuration offset that one VM has applied.
-fn changes<P: Peer>(exchange: &mut Exchange<P>, row: &mut Map<String, Value>) {
+fn changes<P: Protocol>(network: &mut Network<P>, row: &mut Map<String, Value>) {
     let mut worst = Some(Duration::ZERO);
     for step in 1..=5 {
         let newest = Offset(2_000_000 + step);
-        let teller = exchange.nodes.len() / 2;
-        exchange.tell(teller, |beat| beat.applied = newest);
-        let known = exchange.until(LIMIT, |exchange| exchange.all(|view| view.newest >= newest));
+        let teller = network.nodes.len() / 2;
+        network.update(teller, |announcement| announcement.applied = newest);
+        let known = network.run_until(LIMIT, |network| {
+            network.all_views(|view| view.newest >= newest)
+        });
         worst = worst.max(known);
     }
     row.insert("change_known_max_s".into(), time(worst));
 }
 
 /// Time until all know of a backend server that is leaving.
-fn leaving(exchange: &mut Exchange<Sealed>, row: &mut Map<String, Value>) {
+fn leaving(network: &mut Network<Peer>, row: &mut Map<String, Value>) {
     let mut worst = Some(Duration::ZERO);
     for step in 0..5 {
         let server = format!("engine-{step}").parse().expect("a plain name");
-        let now = exchange.now;
-        let teller = exchange.nodes.len() / 2;
-        exchange.nodes[teller].peer.gossip.leaving(now, &server);
-        let known = exchange.until(LIMIT, |exchange| {
-            exchange.all(|view| view.leaving.contains(&server))
+        let now = network.now;
+        let teller = network.nodes.len() / 2;
+        network.nodes[teller].peer.gossip.leaving(now, &server);
+        let known = network.run_until(LIMIT, |network| {
+            network.all_views(|view| view.leaving.contains(&server))
         });
         worst = worst.max(known);
     }
@@ -196,20 +201,20 @@
 
 /// Suspicions and removals of VMs that are well, over a time with loss.
 fn lossy(
-    exchange: &mut Exchange<Sealed>,
+    network: &mut Network<Peer>,
     (name, loss): (&str, f64),
     scenario: Scenario,
     row: &mut Map<String, Value>,
 ) {
-    let before = exchange.counts();
-    exchange.loss = loss;
-    exchange.reset();
+    let before = network.counts();
+    network.loss = loss;
+    network.reset();
     let time = scenario.loss;
-    exchange.run(time);
-    exchange.loss = 0.0;
-    let after = exchange.counts();
-    let size = exchange.nodes.len() as f64;
-    let sent: u64 = exchange.nodes.iter().map(|node| node.sent_bytes).sum();
+    network.run(time);
+    network.loss = 0.0;
+    let after = network.counts();
+    let size = network.nodes.len() as f64;
+    let sent: u64 = network.nodes.iter().map(|node| node.sent_bytes).sum();
     let bytes = round(sent as f64 / time.as_secs_f64() / size);
     row.insert(
         format!("{name}_suspicions"),
@@ -220,37 +225,37 @@
         json!(after.removals - before.removals),
     );
     row.insert(format!("{name}_sent_bytes_s"), json!(bytes));
-    exchange.run(scenario.settle);
+    network.run(scenario.settle);
 }
 
 /// Time until both regions hold only themselves, and until all are one group again.
-fn partition(exchange: &mut Exchange<Sealed>, row: &mut Map<String, Value>) {
-    let size = exchange.nodes.len();
-    let up = |side: usize| {
-        let nodes = exchange.nodes.iter().enumerate();
-        let nodes = nodes.filter(|(index, node)| node.up && index % 2 == side);
+fn partition(network: &mut Network<Peer>, row: &mut Map<String, Value>) {
+    let size = network.nodes.len();
+    let running = |side: usize| {
+        let nodes = network.nodes.iter().enumerate();
+        let nodes = nodes.filter(|(index, node)| node.running && index % 2 == side);
         nodes.count()
     };
-    let sides = [up(0), up(1)];
-    exchange.cut(|from, to| from % 2 != to % 2);
-    let split = exchange.until(LIMIT, |exchange| {
+    let sides = [running(0), running(1)];
+    network.partition(|from, to| from % 2 != to % 2);
+    let split = network.run_until(LIMIT, |network| {
         (0..size).all(|index| {
             let near = sides[index % 2];
-            !exchange.nodes[index].up || exchange.view(index).members.len() == near
+            !network.nodes[index].running || network.view(index).members.len() == near
         })
     });
     row.insert("region_cut_known_s".into(), time(split));
-    exchange.run(Duration::from_secs(30));
-    let removals = exchange.counts().removals;
-    exchange.reset();
-    exchange.heal();
-    let merged = exchange.until(LIMIT, Exchange::whole);
+    network.run(Duration::from_secs(30));
+    let removals = network.counts().removals;
+    network.reset();
+    network.heal();
+    let merged = network.run_until(LIMIT, Network::is_converged);
     row.insert("merge_s".into(), time(merged));
     row.insert(
         "merge_removals".into(),
-        json!(exchange.counts().removals - removals),
+        json!(network.counts().removals - removals),
     );
-    let most = exchange
+    let most = network
         .nodes
         .iter()
         .map(|node| node.sent_bytes)
@@ -261,17 +266,17 @@
         "merge_sent_bytes_s_max".into(),
         json!(round(most as f64 / seconds)),
     );
-    exchange.run(Duration::from_secs(10));
+    network.run(Duration::from_secs(10));
 }
 
 /// Time until all know that a VM has failed, over some failures.
-fn failures(exchange: &mut Exchange<Sealed>, scenario: Scenario, row: &mut Map<String, Value>) {
+fn failures(network: &mut Network<Peer>, scenario: Scenario, row: &mut Map<String, Value>) {
     let mut times = Vec::new();
-    let size = exchange.nodes.len();
+    let size = network.nodes.len();
     for index in (0..scenario.killed).map(|index| size - 1 - index) {
-        exchange.kill(index);
-        times.push(exchange.until(LIMIT, Exchange::whole));
-        exchange.run(Duration::from_secs(5));
+        network.kill(index);
+        times.push(network.run_until(LIMIT, Network::is_converged));
+        network.run(Duration::from_secs(5));
     }
     times.sort();
     row.insert(
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -334,14 +334,14 @@
 fn run(command: Command) -> Result<Exit, Failure> {
     match command {
         Command::Trial(trial) => {
-            let spread = Duration::try_from_secs_f64(trial.seconds)
+            let arrival_window = Duration::try_from_secs_f64(trial.seconds)
                 .map_err(|error| Failure::refused(Code::BadBody, format!("--seconds: {error}")))?;
             let options = trial::Options {
                 seed: trial.seed,
                 programs: trial.programs,
-                spread,
-                pairs: trial.pairs,
-                plants: trial.plant.into_iter().map(Into::into).collect(),
+                arrival_window,
+                latency_pairs: trial.pairs,
+                faults: trial.plant.into_iter().map(Into::into).collect(),
             };
             command::trial::run(&options, trial.verbose, trial.json)
         }
@@ -400,10 +400,10 @@
     }
 }
 
-impl From<Plant> for trial::Plant {
+impl From<Plant> for trial::Fault {
     fn from(plant: Plant) -> Self {
         match plant {
-            Plant::DoubledEffect => Self::DoubledEffect,
+            Plant::DoubledEffect => Self::DuplicateEffect,
             Plant::HeldMemory => Self::HeldMemory,
         }
     }
--- a/src/command/trial.rs
+++ b/src/command/trial.rs
@@ -20,7 +20,7 @@
     } else {
         print!("{report}");
     }
-    Ok(if report.holds() {
+    Ok(if report.invariants_hold() {
         Exit::Success
     } else {
         Exit::Broken
--- a/src/trial/plant.rs
+++ b/src/trial/fault.rs
@@ -7,21 +7,21 @@
 
 /// Fault that is injected after the load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Plant {
+pub(crate) enum Fault {
     /// A confirmed service call is executed a second time.
-    DoubledEffect,
+    DuplicateEffect,
     /// An engine caches the history of a program that has ended.
     HeldMemory,
 }
 
-impl Plant {
+impl Fault {
     pub(super) async fn inject(
         self,
         cluster: &Cluster,
         outcomes: &[Outcome],
     ) -> Result<(), Failure> {
         match self {
-            Self::DoubledEffect => repeat_effect(cluster, outcomes).await,
+            Self::DuplicateEffect => repeat_effect(cluster, outcomes).await,
             Self::HeldMemory => cache_ended_program(cluster, outcomes).await,
         }
     }
--- a/src/trial/latency.rs
+++ b/src/trial/latency.rs
@@ -122,16 +122,16 @@
     text: &str,
 ) -> Result<CallTimes, Failure> {
     let addresses = cluster.caller_addresses();
-    let address = addresses[index % addresses.len()];
+    let entry = addresses[index % addresses.len()];
     let open = json!({
         "class": "explainer", "key": format!("path-{seed}-{index}"), "budget": { "tokens": 500 },
     });
-    let opened = post(http, &format!("http://{address}/v1/programs"), &open).await?;
+    let opened = post(http, &format!("http://{entry}/v1/programs"), &open).await?;
     let program = opened["program"].as_str().unwrap_or_default();
     let messages = json!([{ "role": "user", "content": text }]);
     let call = json!({ "call": 1, "model": { "messages": messages, "max_tokens": MAX_TOKENS } });
     let request = http
-        .post(format!("http://{address}/v1/programs/{program}/calls"))
+        .post(format!("http://{entry}/v1/programs/{program}/calls"))
         .header("accept", "text/event-stream")
         .json(&call);
     let times = time_call(request, |event, _| match event {
@@ -142,7 +142,7 @@
     let times = times.await?;
     post(
         http,
-        &format!("http://{address}/v1/programs/{program}/end"),
+        &format!("http://{entry}/v1/programs/{program}/end"),
         &json!({}),
     )
     .await?;
--- a/src/trial/mod.rs
+++ b/src/trial/mod.rs
@@ -4,12 +4,12 @@
 mod audit;
 mod caller;
 mod cluster;
+mod fault;
 mod latency;
 mod plan;
-mod plant;
 mod report;
 
-pub(crate) use plant::Plant;
+pub(crate) use fault::Fault;
 pub(crate) use report::Report;
 
 use crate::code::{Code, Failure};
@@ -34,11 +34,11 @@
     /// Number of programs that callers open, without sub-agents.
     pub(crate) programs: usize,
     /// Period over which the programs are opened.
-    pub(crate) spread: Duration,
+    pub(crate) arrival_window: Duration,
     /// Pairs of model calls, one direct and one through a VM, that measure the added latency.
-    pub(crate) pairs: usize,
+    pub(crate) latency_pairs: usize,
     /// Faults to inject after the load, to test the checks themselves.
-    pub(crate) plants: Vec<Plant>,
+    pub(crate) faults: Vec<Fault>,
 }
 
 /// Runs a trial and checks the invariants against the counters of the stand-ins and the callers.
@@ -60,15 +60,15 @@
 
 async fn run_trial(options: &Options, cluster: &Cluster) -> Result<Report, Failure> {
     cluster.wait_until_ready().await?;
-    let added_latency = latency::measure(cluster, options.pairs, options.seed).await?;
-    let plans = plan::draw_programs(options.seed, options.programs, options.spread);
+    let added_latency = latency::measure(cluster, options.latency_pairs, options.seed).await?;
+    let plans = plan::draw_programs(options.seed, options.programs, options.arrival_window);
     let appends_before = cluster.journal_appends().await?;
     let started = Instant::now();
     let outcomes = run_load(cluster, plans).await;
     let duration = started.elapsed();
     let appends = cluster.journal_appends().await? - appends_before;
-    for plant in &options.plants {
-        plant.inject(cluster, &outcomes).await?;
+    for fault in &options.faults {
+        fault.inject(cluster, &outcomes).await?;
     }
     let audit = Audit::collect(cluster, &outcomes).await?;
     Ok(Report::new(Results {
--- a/src/trial/report.rs
+++ b/src/trial/report.rs
@@ -86,7 +86,7 @@
     }
 
     /// Whether no invariant was broken.
-    pub(crate) fn holds(&self) -> bool {
+    pub(crate) fn invariants_hold(&self) -> bool {
         self.invariants
             .iter()
             .all(|invariant| invariant.broken == 0)
--- a/tests/member.rs
+++ b/tests/member.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "the benchmark uses the rest")]
 mod exchange;
 
-use exchange::{Exchange, Sealed, ZONES, address, name};
+use exchange::{Network, Peer, ZONES, address, vm_name};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use vanillatrail::id::{Epoch, Offset, Shard, Vm};
@@ -19,17 +19,17 @@
     Duration::from_secs(seconds)
 }
 
-fn joined(size: usize, seed: u64) -> Exchange<Sealed> {
-    let mut exchange = Exchange::gossip(size, SHARDS, seed);
-    let whole = exchange.until(LIMIT, |exchange| exchange.whole() && owned(exchange));
+fn joined(size: usize, seed: u64) -> Network<Peer> {
+    let mut exchange = Network::gossip(size, SHARDS, seed);
+    let whole = exchange.run_until(LIMIT, |exchange| exchange.is_converged() && owned(exchange));
     assert!(whole.is_some(), "the VMs never found each other");
     exchange.run(seconds(10));
     exchange
 }
 
 /// Whether every VM knows an owner of every shard.
-fn owned(exchange: &mut Exchange<Sealed>) -> bool {
-    exchange.all(|view| (0..SHARDS).all(|shard| view.owner(Shard(shard)).is_some()))
+fn owned(exchange: &mut Network<Peer>) -> bool {
+    exchange.all_views(|view| (0..SHARDS).all(|shard| view.owner(Shard(shard)).is_some()))
 }
 
 fn owners(view: &View) -> BTreeMap<Shard, Vm> {
@@ -48,17 +48,17 @@
 }
 
 /// Runs with a claimer at every VM and counts the claims that fall due.
-fn claims(exchange: &mut Exchange<Sealed>, time: Duration) -> usize {
+fn claims(exchange: &mut Network<Peer>, time: Duration) -> usize {
     let size = exchange.nodes.len();
     let mut claimers: Vec<Claimer> = (0..size)
-        .map(|index| Claimer::new(name(index), SHARDS))
+        .map(|index| Claimer::new(vm_name(index), SHARDS))
         .collect();
     let step = Duration::from_millis(100);
     let mut due = 0;
     for _ in 0..time.as_millis() / step.as_millis() {
         exchange.run(step);
         for (index, claimer) in claimers.iter_mut().enumerate() {
-            if exchange.nodes[index].up {
+            if exchange.nodes[index].running {
                 let seen = sightings(&exchange.view(index));
                 due += claimer.due(exchange.now, &seen).len();
             }
@@ -93,7 +93,7 @@
     exchange.run(seconds(59));
     assert!(exchange.view(0).members.len() == 11);
     let removals = exchange.nodes[3].peer.gossip.counts().removals;
-    let back = exchange.until(LIMIT, Exchange::whole);
+    let back = exchange.run_until(LIMIT, Network::is_converged);
     assert!(back.is_some(), "the VM did not come back");
     assert_eq!(exchange.nodes[3].peer.gossip.counts().removals, removals);
     exchange.run(seconds(5));
@@ -108,7 +108,7 @@
 #[test]
 fn a_one_way_cut_between_two_vms_removes_neither() {
     let mut exchange = joined(12, 3);
-    exchange.cut(|from, to| (from, to) == (2, 7));
+    exchange.partition(|from, to| (from, to) == (2, 7));
     assert_eq!(claims(&mut exchange, seconds(60)), 0);
     assert_eq!(exchange.counts().removals, 0);
     assert_eq!(exchange.counts().suspicions, 0);
@@ -120,8 +120,8 @@
 #[test]
 fn a_deaf_vm_is_dropped_and_drops_nobody_else() {
     let mut exchange = joined(12, 4);
-    exchange.cut(|_, to| to == 7);
-    let dropped = exchange.until(seconds(20), |exchange| {
+    exchange.partition(|_, to| to == 7);
+    let dropped = exchange.run_until(seconds(20), |exchange| {
         (0..12).all(|index| index == 7 || exchange.view(index).members.len() == 11)
     });
     assert!(dropped.is_some());
@@ -135,7 +135,7 @@
         );
     }
     exchange.heal();
-    assert!(exchange.until(LIMIT, Exchange::whole).is_some());
+    assert!(exchange.run_until(LIMIT, Network::is_converged).is_some());
 }
 
 /// Callers in the zone that is cut off go on with what it has, the others too: each side drops
@@ -146,8 +146,8 @@
 fn a_zone_that_was_cut_off_merges_back() {
     let mut exchange = joined(24, 5);
     let before = owners(&exchange.view(0));
-    exchange.cut(|from, to| (from % ZONES == 1) != (to % ZONES == 1));
-    let split = exchange.until(seconds(30), |exchange| {
+    exchange.partition(|from, to| (from % ZONES == 1) != (to % ZONES == 1));
+    let split = exchange.run_until(seconds(30), |exchange| {
         (0..24).all(|index| {
             let side = if index % ZONES == 1 { 4 } else { 20 };
             exchange.view(index).members.len() == side
@@ -157,7 +157,7 @@
     exchange.run(seconds(30));
     let removals = exchange.counts().removals;
     exchange.heal();
-    let merged = exchange.until(seconds(30), Exchange::whole);
+    let merged = exchange.run_until(seconds(30), Network::is_converged);
     assert!(merged.is_some());
     exchange.run(seconds(10));
     assert_eq!(exchange.counts().removals, removals);
@@ -170,20 +170,20 @@
 #[test]
 fn two_sides_that_both_went_on_agree_on_the_newest_claims() {
     let mut exchange = joined(24, 6);
-    exchange.cut(|from, to| from % 2 != to % 2);
+    exchange.partition(|from, to| from % 2 != to % 2);
     exchange.run(seconds(20));
     let fresh = Epoch::at(Offset(9_000_000), 0);
     // Shard 1 is held by VM 1; VM 2 is on the other side.
-    exchange.tell(2, |beat| beat.held.push((Shard(1), fresh)));
-    exchange.tell(3, |beat| beat.applied = Offset(1_000_007));
+    exchange.update(2, |beat| beat.held.push((Shard(1), fresh)));
+    exchange.update(3, |beat| beat.applied = Offset(1_000_007));
     exchange.run(seconds(10));
-    assert_eq!(exchange.view(1).owner(Shard(1)).unwrap().vm, name(1));
+    assert_eq!(exchange.view(1).owner(Shard(1)).unwrap().vm, vm_name(1));
     exchange.heal();
-    let agreed = exchange.until(seconds(30), |exchange| {
-        exchange.whole()
-            && exchange.all(|view| {
+    let agreed = exchange.run_until(seconds(30), |exchange| {
+        exchange.is_converged()
+            && exchange.all_views(|view| {
                 view.owner(Shard(1))
-                    .is_some_and(|owner| owner.vm == name(2))
+                    .is_some_and(|owner| owner.vm == vm_name(2))
                     && view.newest == Offset(1_000_007)
             })
     });
@@ -200,10 +200,14 @@
     for index in [3, 13, 23, 33] {
         exchange.restart(index, 2_000_000);
     }
-    let known = exchange.until(seconds(10), |exchange| {
-        let boots: Vec<_> = exchange.nodes.iter().map(|node| node.beat.boot).collect();
-        exchange.whole()
-            && exchange.all(|view| {
+    let known = exchange.run_until(seconds(10), |exchange| {
+        let boots: Vec<_> = exchange
+            .nodes
+            .iter()
+            .map(|node| node.announcement.boot)
+            .collect();
+        exchange.is_converged()
+            && exchange.all_views(|view| {
                 let members = view.members.values();
                 members
                     .zip(&boots)
@@ -225,11 +229,11 @@
 fn a_restarted_vm_whose_clock_went_back_is_known_all_the_same() {
     let mut exchange = joined(12, 8);
     exchange.restart(5, 1);
-    let boot = exchange.nodes[5].beat.boot;
-    let known = exchange.until(seconds(10), |exchange| {
-        exchange.all(|view| {
+    let boot = exchange.nodes[5].announcement.boot;
+    let known = exchange.run_until(seconds(10), |exchange| {
+        exchange.all_views(|view| {
             view.members
-                .get(&name(5))
+                .get(&vm_name(5))
                 .is_some_and(|five| five.boot == boot)
         })
     });
@@ -245,7 +249,7 @@
     let before = owners(&exchange.view(0));
     let mut due = 0;
     for _ in 0..30 {
-        exchange.cut(|from, to| from == 4 || to == 4);
+        exchange.partition(|from, to| from == 4 || to == 4);
         due += claims(&mut exchange, Duration::from_millis(900));
         exchange.heal();
         due += claims(&mut exchange, Duration::from_millis(1100));
@@ -263,7 +267,7 @@
         node.peer.gossip.contact((500..560).map(address));
     }
     assert_eq!(claims(&mut exchange, seconds(30)), 0);
-    assert!(exchange.whole());
+    assert!(exchange.is_converged());
     assert_eq!(exchange.counts().suspicions, 0);
 }
 
@@ -273,11 +277,15 @@
 #[test]
 fn a_region_cut_for_minutes_heals() {
     let mut exchange = joined(24, 11);
-    exchange.cut(|from, to| from % 2 != to % 2);
+    exchange.partition(|from, to| from % 2 != to % 2);
     exchange.run(seconds(300));
-    assert!(exchange.all(|view| view.members.len() == 12));
+    assert!(exchange.all_views(|view| view.members.len() == 12));
     exchange.heal();
-    assert!(exchange.until(seconds(30), Exchange::whole).is_some());
+    assert!(
+        exchange
+            .run_until(seconds(30), Network::is_converged)
+            .is_some()
+    );
 }
 
 /// With one datagram in five lost, callers notice nothing: there are suspicions, and each is
@@ -288,7 +296,7 @@
     exchange.loss = 0.2;
     exchange.run(seconds(120));
     assert_eq!(exchange.counts().removals, 0);
-    assert!(exchange.whole());
+    assert!(exchange.is_converged());
 }
 
 /// The last VM of three goes on alone when both others die, after a while in which it holds its
@@ -298,7 +306,7 @@
     let mut exchange = joined(3, 13);
     exchange.kill(0);
     exchange.kill(2);
-    let alone = exchange.until(seconds(30), Exchange::whole);
+    let alone = exchange.run_until(seconds(30), Network::is_converged);
     assert!(alone.is_some());
 }
 
@@ -319,10 +327,10 @@
                 .on_message(now, from, message);
         }
     }
-    let dropped = exchange.until(seconds(20), Exchange::whole);
+    let dropped = exchange.run_until(seconds(20), Network::is_converged);
     assert!(dropped.is_some_and(|time| time < seconds(3)), "{dropped:?}");
     exchange.run(seconds(10));
-    assert!(exchange.whole());
+    assert!(exchange.is_converged());
     assert_eq!(exchange.counts().suspicions, 0);
 }
 
@@ -335,26 +343,26 @@
     let server = "engine-7".parse().unwrap();
     let now = exchange.now;
     exchange.nodes[9].peer.gossip.leaving(now, &server);
-    let known = exchange.until(seconds(20), |exchange| {
-        exchange.all(|view| view.leaving.contains(&server))
+    let known = exchange.run_until(seconds(20), |exchange| {
+        exchange.all_views(|view| view.leaving.contains(&server))
     });
     assert!(known.is_some_and(|time| time < seconds(4)), "{known:?}");
-    let over = exchange.until(seconds(70), |exchange| {
-        exchange.all(|view| view.leaving.is_empty())
+    let over = exchange.run_until(seconds(70), |exchange| {
+        exchange.all_views(|view| view.leaving.is_empty())
     });
     assert!(over.is_some());
     exchange.run(seconds(60));
-    assert!(exchange.all(|view| view.leaving.is_empty()));
+    assert!(exchange.all_views(|view| view.leaving.is_empty()));
 }
 
 /// A group in which everything changes at once still sends datagrams of at most 1,200 bytes, and
 /// every VM learns of every member and every owner.
 #[test]
 fn no_datagram_exceeds_its_bound() {
-    let mut exchange = Exchange::gossip(30, 600, 16);
-    let known = exchange.until(LIMIT, |exchange| {
-        exchange.whole()
-            && exchange.all(|view| (0..600).all(|shard| view.owner(Shard(shard)).is_some()))
+    let mut exchange = Network::gossip(30, 600, 16);
+    let known = exchange.run_until(LIMIT, |exchange| {
+        exchange.is_converged()
+            && exchange.all_views(|view| (0..600).all(|shard| view.owner(Shard(shard)).is_some()))
     });
     assert!(known.is_some());
     let largest = exchange
