--- a/src/standin/log.rs
+++ b/src/standin/log.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's append-only log.
+//! Stand-in for the platform's append-only log.
 
 use super::faults::{self, Switches};
 use crate::platform::{WireEntry, WireOffset, WirePage};
@@ -14,8 +14,8 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Bytes of data that one page holds at most.
-const PAGE_BYTES: usize = 1 << 20;
+/// Limit on the data of one page; a single larger entry is still returned.
+const MAX_PAGE_BYTES: usize = 1 << 20;
 
 #[derive(Debug, Default)]
 struct Stream {
@@ -33,11 +33,11 @@
         let mut bytes = 0;
         let skip = usize::try_from(from - self.first).unwrap_or(usize::MAX);
         let entries = self.entries.iter().enumerate().skip(skip);
-        let fits = entries.take_while(|(_, data)| {
+        let page_entries = entries.take_while(|(_, data)| {
             bytes += data.len();
-            bytes == data.len() || bytes <= PAGE_BYTES
+            bytes == data.len() || bytes <= MAX_PAGE_BYTES
         });
-        let entries = fits.map(|(index, data)| WireEntry {
+        let entries = page_entries.map(|(index, data)| WireEntry {
             offset: self.first + index as u64,
             data: STANDARD.encode(data),
         });
@@ -49,7 +49,7 @@
     }
 }
 
-/// What really happened, for tests.
+/// Counters that tests compare with what the VMs did.
 #[derive(Debug, Clone, Default, Serialize)]
 struct Counters {
     appends: u64,
@@ -62,11 +62,11 @@
 struct State {
     streams: Arc<Mutex<BTreeMap<String, Stream>>>,
     counters: Arc<Mutex<Counters>>,
-    grown: Arc<Notify>,
+    appended: Arc<Notify>,
 }
 
 #[derive(Debug, Deserialize)]
-struct From {
+struct ReadQuery {
     #[serde(default)]
     from: u64,
     #[serde(default)]
@@ -82,7 +82,7 @@
 pub(super) fn routes() -> impl IntoEndpoint<Endpoint: 'static> {
     Route::new()
         .at("/streams/:stream", post(append).get(read))
-        .at("/faults", post(faults::set))
+        .at("/faults", post(faults::set_faults))
         .at("/trim", post(trim))
         .at("/counters", get(get_counters))
         .at("/entries", get(count_entries))
@@ -93,25 +93,25 @@
 #[handler]
 async fn append(
     state: Data<&State>,
-    switches: Data<&Switches>,
+    faults: Data<&Switches>,
     Path(stream): Path<String>,
     body: Vec<u8>,
 ) -> poem::Result<Json<WireOffset>> {
-    switches.enter().await?;
+    faults.delay_or_fail().await?;
     let offset = {
-        let mut streams = state.streams.lock().expect("no holder panics");
-        let kept = streams.entry(stream.clone()).or_default();
-        kept.entries.push_back(body.clone().into());
-        kept.next() - 1
+        let mut streams = state.streams.lock().expect("the lock is not poisoned");
+        let log = streams.entry(stream.clone()).or_default();
+        log.entries.push_back(body.clone().into());
+        log.next() - 1
     };
     {
-        let mut counters = state.counters.lock().expect("no holder panics");
+        let mut counters = state.counters.lock().expect("the lock is not poisoned");
         counters.appends += 1;
         counters.bytes += body.len() as u64;
         *counters.appends_by_stream.entry(stream).or_default() += 1;
     };
-    state.grown.notify_waiters();
-    if switches.loses_reply() {
+    state.appended.notify_waiters();
+    if faults.take_lost_reply() {
         return Err(poem::Error::from_status(StatusCode::BAD_GATEWAY));
     }
     Ok(Json(WireOffset { offset }))
@@ -120,34 +120,38 @@
 #[handler]
 async fn read(
     state: Data<&State>,
-    switches: Data<&Switches>,
+    faults: Data<&Switches>,
     Path(stream): Path<String>,
-    Query(from): Query<From>,
+    Query(query): Query<ReadQuery>,
 ) -> poem::Result<Json<WirePage>> {
-    switches.enter().await?;
-    state.counters.lock().expect("no holder panics").reads += 1;
-    let until = tokio::time::Instant::now() + Duration::from_millis(from.wait_ms.min(30_000));
+    faults.delay_or_fail().await?;
+    state
+        .counters
+        .lock()
+        .expect("the lock is not poisoned")
+        .reads += 1;
+    let deadline = tokio::time::Instant::now() + Duration::from_millis(query.wait_ms.min(30_000));
     loop {
-        while switches.get().hold_reads && stream.starts_with("journal") {
+        while faults.get().hold_reads && stream.starts_with("journal") {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        let grown = state.grown.notified();
+        let appended = state.appended.notified();
         let page = {
-            let mut streams = state.streams.lock().expect("no holder panics");
-            streams.entry(stream.clone()).or_default().page(from.from)
+            let mut streams = state.streams.lock().expect("the lock is not poisoned");
+            streams.entry(stream.clone()).or_default().page(query.from)
         };
-        let waited = tokio::time::timeout_at(until, grown);
-        let held = switches.get().hold_reads && stream.starts_with("journal");
-        if !held && (!page.entries.is_empty() || waited.await.is_err()) {
+        let next_append = tokio::time::timeout_at(deadline, appended);
+        let reads_held = faults.get().hold_reads && stream.starts_with("journal");
+        if !reads_held && (!page.entries.is_empty() || next_append.await.is_err()) {
             return Ok(Json(page));
         }
-        switches.enter().await?;
+        faults.delay_or_fail().await?;
     }
 }
 
 #[handler]
 fn trim(state: Data<&State>, trim: Json<Trim>) -> Json<WireOffset> {
-    let mut streams = state.streams.lock().expect("no holder panics");
+    let mut streams = state.streams.lock().expect("the lock is not poisoned");
     let stream = streams.entry(trim.stream.clone()).or_default();
     while stream.first < trim.before && stream.entries.pop_front().is_some() {
         stream.first += 1;
@@ -158,24 +162,30 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Texts {
-    /// Texts that an entry has to hold, parted by commas.
+struct EntryQuery {
+    /// Texts that an entry must contain, separated by commas.
     holding: String,
 }
 
-/// How many entries of all streams hold the texts, faults or not.
+/// Counts the entries of all streams that contain the texts; not affected by injected faults.
 #[handler]
-fn count_entries(state: Data<&State>, Query(texts): Query<Texts>) -> Json<usize> {
-    let streams = state.streams.lock().expect("no holder panics");
-    let holds = |entry: &&Bytes| {
+fn count_entries(state: Data<&State>, Query(query): Query<EntryQuery>) -> Json<usize> {
+    let streams = state.streams.lock().expect("the lock is not poisoned");
+    let contains_all = |entry: &&Bytes| {
         let entry = String::from_utf8_lossy(entry);
-        texts.holding.split(',').all(|text| entry.contains(text))
+        query.holding.split(',').all(|text| entry.contains(text))
     };
     let entries = streams.values().flat_map(|stream| &stream.entries);
-    Json(entries.filter(holds).count())
+    Json(entries.filter(contains_all).count())
 }
 
 #[handler]
 fn get_counters(state: Data<&State>) -> Json<Counters> {
-    Json(state.counters.lock().expect("no holder panics").clone())
+    Json(
+        state
+            .counters
+            .lock()
+            .expect("the lock is not poisoned")
+            .clone(),
+    )
 }
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for the platform and the backend servers, with fault switches and counters.
+//! In-process stand-ins for the platform and the backend servers, with fault injection and counters.
 
 mod engine;
 mod faults;
@@ -14,34 +14,34 @@
 use std::net::SocketAddr;
 use tokio_util::sync::CancellationToken;
 
-/// Which stand-in.
+/// Kind of stand-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Kind {
     /// The append-only log service.
     Log,
-    /// A model engine.
+    /// A model engine with a chat-completions API.
     Engine,
-    /// A plain service.
+    /// A service whose operations have countable effects.
     Service,
-    /// The VM list.
+    /// The platform's list of VMs.
     Vms,
 }
 
-/// Serves the stand-in on `listener` until `stop`.
+/// Serves a stand-in on `listener` until `stop` is cancelled.
 pub(crate) async fn serve(
     kind: Kind,
     listener: std::net::TcpListener,
     stop: CancellationToken,
 ) -> io::Result<()> {
     match kind {
-        Kind::Log => run(listener, log::routes(), stop).await,
-        Kind::Engine => run(listener, engine::routes(), stop).await,
-        Kind::Service => run(listener, service::routes(), stop).await,
-        Kind::Vms => run(listener, vms::routes(), stop).await,
+        Kind::Log => serve_routes(listener, log::routes(), stop).await,
+        Kind::Engine => serve_routes(listener, engine::routes(), stop).await,
+        Kind::Service => serve_routes(listener, service::routes(), stop).await,
+        Kind::Vms => serve_routes(listener, vms::routes(), stop).await,
     }
 }
 
-async fn run(
+async fn serve_routes(
     listener: std::net::TcpListener,
     routes: impl IntoEndpoint<Endpoint: 'static>,
     stop: CancellationToken,
@@ -58,7 +58,7 @@
         .await
 }
 
-/// Binds `address` for a stand-in or a VM.
+/// Binds a listener for a stand-in or a VM.
 pub(crate) fn bind(address: SocketAddr) -> io::Result<std::net::TcpListener> {
     std::net::TcpListener::bind(address)
 }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a plain service: each operation counts how often its effect took place.
+//! Stand-in for a service that counts how often each call took effect.
 
 use super::faults::{self, Switches};
 use bytes::Bytes;
@@ -10,14 +10,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What really happened, for tests.
+/// Counters that tests compare with what callers saw.
 #[derive(Debug, Clone, Default, Serialize)]
 struct Counters {
-    /// Effects by the key of the call.
+    /// Number of effects by idempotency key.
     effects: BTreeMap<String, u64>,
-    /// Keys in the order of their effects.
+    /// Idempotency keys in the order of the effects.
     order: Vec<String>,
-    /// Requests that came in, by operation.
+    /// Number of executed requests by operation.
     requests: BTreeMap<String, u64>,
 }
 
@@ -36,7 +36,7 @@
         .at("/operations/:operation", post(operate))
         .at("/status/:key", get(status))
         .at("/load", get(load))
-        .at("/faults", post(faults::set))
+        .at("/faults", post(faults::set_faults))
         .at("/counters", get(get_counters))
         .data(State::default())
         .data(Switches::default())
@@ -45,34 +45,34 @@
 #[handler]
 async fn operate(
     state: Data<&State>,
-    switches: Data<&Switches>,
+    faults: Data<&Switches>,
     Path(operation): Path<String>,
     request: &Request,
     body: String,
 ) -> poem::Result<Response> {
-    switches.enter().await?;
+    faults.delay_or_fail().await?;
     let key = request
         .header("idempotency-key")
         .unwrap_or("none")
         .to_owned();
-    // A body may say how long the work takes, so that callers can shape a program.
-    let work = serde_json::from_str::<serde_json::Value>(&body)
+    // Callers may set the duration of the work in the body.
+    let work_ms = serde_json::from_str::<serde_json::Value>(&body)
         .ok()
         .and_then(|body| body.get("work_ms")?.as_u64());
-    tokio::time::sleep(Duration::from_millis(work.unwrap_or(0).min(60_000))).await;
+    tokio::time::sleep(Duration::from_millis(work_ms.unwrap_or(0).min(60_000))).await;
     let number = {
-        let mut counters = state.0.0.lock().expect("no holder panics");
+        let mut counters = state.0.0.lock().expect("the lock is not poisoned");
         *counters.requests.entry(operation.clone()).or_default() += 1;
         *counters.effects.entry(key.clone()).or_default() += 1;
         counters.order.push(key.clone());
         counters.effects.len() as u64
     };
-    let wait = switches.get().reply_after_ms;
-    tokio::time::sleep(Duration::from_millis(wait)).await;
-    if switches.loses_reply() {
+    let reply_delay_ms = faults.get().reply_after_ms;
+    tokio::time::sleep(Duration::from_millis(reply_delay_ms)).await;
+    if faults.take_lost_reply() {
         return Err(poem::Error::from_status(StatusCode::BAD_GATEWAY));
     }
-    if switches.cuts_reply() {
+    if faults.take_cut_reply() {
         let reset = std::io::Error::from(std::io::ErrorKind::ConnectionReset);
         let parts = futures::stream::iter([Ok(Bytes::from_static(b"{")), Err(reset)]);
         let body = poem::Body::from_bytes_stream(parts);
@@ -90,8 +90,8 @@
 
 #[handler]
 fn status(state: Data<&State>, Path(key): Path<String>) -> poem::Result<Json<Receipt>> {
-    let counters = state.0.0.lock().expect("no holder panics");
-    // The key of a call holds a slash, which a path segment carries as a tilde.
+    let counters = state.0.0.lock().expect("the lock is not poisoned");
+    // The slash of a key is sent as a tilde, to fit into a path segment.
     let key = key.replace('~', "/");
     if counters.effects.contains_key(&key) {
         return Ok(Json(Receipt {
@@ -104,11 +104,11 @@
 }
 
 #[handler]
-fn load(switches: Data<&Switches>) -> Json<serde_json::Value> {
-    Json(serde_json::json!({ "leaving": switches.get().leaving }))
+fn load(faults: Data<&Switches>) -> Json<serde_json::Value> {
+    Json(serde_json::json!({ "leaving": faults.get().leaving }))
 }
 
 #[handler]
 fn get_counters(state: Data<&State>) -> Json<Counters> {
-    Json(state.0.0.lock().expect("no holder panics").clone())
+    Json(state.0.0.lock().expect("the lock is not poisoned").clone())
 }
