--- a/benches/control.rs
+++ b/benches/control.rs
@@ -1,9 +1,9 @@
-//! The cost and the speed of membership at several sizes, full heartbeats against gossip.
+//! Compares the gossip membership protocol with full heartbeats: traffic, processor time, memory and
+//! detection times, for several cluster sizes.
 //!
-//! A number measures that size only, `--gossip` and `--heartbeats` one way only. `--json` prints
-//! every figure, `--check` compares the deterministic ones with the bounds in
-//! `control_bounds.json`. Figures of the exchange depend on its seeds only; processor time and
-//! memory are those of this machine, and are never checked.
+//! A number as argument selects one size, `--gossip` or `--heartbeats` one protocol. `--json` prints
+//! JSON. `--check` compares the figures with the bounds in `control_bounds.json`. Only processor
+//! time and memory depend on the machine, and these are not checked.
 
 #[path = "control/exchange.rs"]
 #[allow(dead_code, reason = "the tests use the rest")]
@@ -16,25 +16,28 @@
 use serde_json::{Value, json};
 use std::process::ExitCode;
 
-const SIZES: [usize; 5] = [12, 50, 100, 200, 430];
+const CLUSTER_SIZES: [usize; 5] = [12, 50, 100, 200, 430];
 const BOUNDS: &str = include_str!("control_bounds.json");
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let asked = |name: &str| arguments.iter().any(|argument| argument == name);
-    if asked("--check") {
+    let has_flag = |name: &str| arguments.iter().any(|argument| argument == name);
+    if has_flag("--check") {
         return check();
     }
-    let only: Option<usize> = arguments.iter().find_map(|argument| argument.parse().ok());
-    for size in SIZES
+    let only_size: Option<usize> = arguments.iter().find_map(|argument| argument.parse().ok());
+    for size in CLUSTER_SIZES
         .into_iter()
-        .filter(|size| only.is_none_or(|only| only == *size))
+        .filter(|size| only_size.is_none_or(|wanted| wanted == *size))
     {
-        if !asked("--gossip") {
-            print(&measure::heartbeats(size), asked("--json"));
+        if !has_flag("--gossip") {
+            print(&measure::heartbeats(size), has_flag("--json"));
         }
-        if !asked("--heartbeats") {
-            print(&measure::gossip(size, measure::TABLE), asked("--json"));
+        if !has_flag("--heartbeats") {
+            print(
+                &measure::gossip(size, measure::TABLE_SCENARIO),
+                has_flag("--json"),
+            );
         }
     }
     ExitCode::SUCCESS
@@ -51,26 +54,26 @@
     }
 }
 
-/// Compares the figures at the sizes of the bounds with them; prints each that is over.
+/// Measures each size that has bounds and prints the figures that exceed them.
 fn check() -> ExitCode {
     let bounds: Value = serde_json::from_str(BOUNDS).expect("the bounds are JSON");
-    let mut over = 0;
+    let mut exceeded = 0;
     for bound in bounds["gossip"].as_array().into_iter().flatten() {
         let size = bound["vms"]
             .as_u64()
             .and_then(|size| usize::try_from(size).ok());
         let size = size.expect("each bound has a size");
-        let row = measure::gossip(size, measure::CHECK);
-        for (name, most) in bound["most"].as_object().into_iter().flatten() {
+        let row = measure::gossip(size, measure::CHECK_SCENARIO);
+        for (name, max) in bound["most"].as_object().into_iter().flatten() {
             let figure = row[name].as_f64().unwrap_or(f64::INFINITY);
-            if figure > most.as_f64().unwrap_or(0.0) {
-                over += 1;
-                println!("{} VMs: {name} is {figure}, over {most}", row["vms"]);
+            if figure > max.as_f64().unwrap_or(0.0) {
+                exceeded += 1;
+                println!("{} VMs: {name} is {figure}, over {max}", row["vms"]);
             }
         }
     }
-    println!("{}", json!({ "over": over }));
-    if over == 0 {
+    println!("{}", json!({ "over": exceeded }));
+    if exceeded == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/benches/control/exchange.rs
+++ b/benches/control/exchange.rs
@@ -1,6 +1,5 @@
-//! An exchange of datagrams in memory between instances of the membership code, with delay, loss
-//! and cuts, over a clock that only the exchange moves. It is no model of a whole cluster: nothing
-//! but the membership runs on it.
+//! Simulated network between instances of the membership code, with delay, packet loss, partitions
+//! and a simulated clock.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -11,29 +10,28 @@
 use vanillatrail::id::{Boot, Epoch, Incarnation, Millicores, Offset, Shard, Vm};
 use vanillatrail::member::{Action, Beat, Counts, Gossip, Sealer, View};
 
-/// Bytes of the headers of IP and UDP, which count as control traffic too.
-pub const HEADERS: usize = 28;
-/// Time between two ticks of a peer.
-const TICK: Duration = Duration::from_millis(50);
-/// Availability zones, half of them in each of two regions.
+/// Size of the IP and UDP headers of a datagram, counted as traffic too.
+pub const HEADER_BYTES: usize = 28;
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of availability zones, half of them in each of two regions.
 pub const ZONES: usize = 6;
 
-/// A datagram to send.
+/// Datagram to send, with its destination.
 pub type Datagram = (SocketAddr, Vec<u8>);
 
-/// One instance of a membership protocol.
+/// Instance of a membership protocol.
 pub trait Protocol {
-    /// Does what is due.
+    /// Runs periodic work.
     fn tick(&mut self, now: Instant) -> Vec<Datagram>;
-    /// Takes in a datagram.
-    fn take(&mut self, now: Instant, from: SocketAddr, datagram: &[u8]) -> Vec<Datagram>;
-    /// What it holds of the others.
+    /// Handles a received datagram.
+    fn receive(&mut self, now: Instant, from: SocketAddr, datagram: &[u8]) -> Vec<Datagram>;
+    /// Current view of the members.
     fn view(&mut self, now: Instant) -> View;
-    /// Takes in what its VM says of itself.
+    /// Updates this VM's own state.
     fn local(&mut self, announcement: &Beat);
 }
 
-/// The protocol of the library, sealed as on the wire.
+/// Gossip instance of the library; datagrams are encoded and authenticated as on the wire.
 pub struct Peer {
     pub gossip: Gossip,
     sealer: Sealer,
@@ -68,7 +66,7 @@
         self.seal(actions)
     }
 
-    fn take(&mut self, now: Instant, from: SocketAddr, datagram: &[u8]) -> Vec<Datagram> {
+    fn receive(&mut self, now: Instant, from: SocketAddr, datagram: &[u8]) -> Vec<Datagram> {
         let message = self.sealer.open(datagram).expect("sealed by a peer");
         let actions = self.gossip.on_message(now, from, message);
         self.seal(actions)
@@ -83,20 +81,20 @@
     }
 }
 
-/// A VM of the exchange.
+/// Simulated VM.
 pub struct Node<P> {
     pub peer: P,
     pub announcement: Beat,
     pub running: bool,
-    /// Stands still until then; its datagrams wait.
+    /// The process is suspended until this time; its datagrams are queued.
     paused: Option<Instant>,
     pub sent: u64,
     pub sent_bytes: u64,
     pub received: u64,
     pub received_bytes: u64,
-    pub largest: usize,
-    /// Processor time spent in the protocol.
-    pub spent: Duration,
+    pub largest_datagram: usize,
+    /// Wall-clock time spent in the protocol code.
+    pub protocol_time: Duration,
 }
 
 enum Event {
@@ -108,25 +106,27 @@
     },
 }
 
-/// Whether a datagram from one VM to another is lost.
-pub type Cut = Box<dyn Fn(usize, usize) -> bool>;
+/// Whether to drop datagrams from one VM to another.
+pub type DropRule = Box<dyn Fn(usize, usize) -> bool>;
 
-/// The exchange.
+/// Simulated network and its VMs.
 pub struct Network<P> {
     pub nodes: Vec<Node<P>>,
     pub now: Instant,
     pub loss: f64,
-    cut: Cut,
+    drop_rule: DropRule,
     events: BTreeMap<(Instant, u64), Event>,
-    number: u64,
+    event_number: u64,
     rng: StdRng,
     started: Instant,
-    /// The VM that failed the last check.
-    last: usize,
+    /// VM whose view failed the last check.
+    last_failed: usize,
 }
 
 pub fn address(index: usize) -> SocketAddr {
-    let [.., high, low] = u32::try_from(index).expect("a small number").to_be_bytes();
+    let [.., high, low] = u32::try_from(index)
+        .expect("an index fits into 32 bits")
+        .to_be_bytes();
     (Ipv4Addr::new(10, 0, high, low), 7200).into()
 }
 
@@ -141,30 +141,30 @@
 }
 
 pub fn vm_name(index: usize) -> Vm {
-    format!("vm-{index:03}").parse().expect("a plain name")
+    format!("vm-{index:03}").parse().expect("a valid name")
 }
 
-/// What a VM with its part of `shards` shards among `size` VMs says of itself.
+/// Announcement of one of `size` VMs that own `shards` shards in equal parts.
 pub fn announcement(index: usize, size: usize, shards: u64) -> Beat {
-    let held = (0..shards).filter(|shard| *shard % size as u64 == index as u64);
+    let owned_shards = (0..shards).filter(|shard| *shard % size as u64 == index as u64);
     Beat {
         vm: vm_name(index),
         zone: format!("zone-{}", index % ZONES)
             .parse()
-            .expect("a plain name"),
+            .expect("a valid name"),
         boot: Boot(index as u64 + (1 << 60)),
         address: address(index),
         cores: Millicores(1000),
         ready: true,
         applied: Offset(1_000_000),
-        held: held
+        held: owned_shards
             .map(|shard| (Shard(shard), Epoch::at(Offset(1_000_000 + shard), 0)))
             .collect(),
     }
 }
 
 impl Network<Peer> {
-    /// VMs that run the gossip, one seed in each zone, owning `shards` shards between them.
+    /// Network of VMs that run the gossip protocol, with one seed member per zone.
     pub fn gossip(size: usize, shards: u64, seed: u64) -> Self {
         let now = Instant::now();
         let seeds: Vec<SocketAddr> = (0..ZONES.min(size)).map(address).collect();
@@ -177,7 +177,7 @@
         Self::new(now, peers.collect(), seed)
     }
 
-    /// Starts the process of a VM anew: another boot, no shards, nothing known but the seeds.
+    /// Restarts the process of a VM with a new boot number, without shards and members.
     pub fn restart(&mut self, index: usize, incarnation: u64) {
         let seeds: Vec<SocketAddr> = (0..ZONES.min(self.nodes.len())).map(address).collect();
         let seed = self.rng.random();
@@ -190,7 +190,7 @@
         node.paused = None;
     }
 
-    /// Events at all VMs that are up.
+    /// Sums of the protocol counters of all running VMs.
     pub fn counts(&self) -> Counts {
         let running = self.nodes.iter().filter(|node| node.running);
         running.fold(Counts::default(), |sum, node| {
@@ -215,36 +215,36 @@
             sent_bytes: 0,
             received: 0,
             received_bytes: 0,
-            largest: 0,
-            spent: Duration::ZERO,
+            largest_datagram: 0,
+            protocol_time: Duration::ZERO,
         };
         let mut network = Self {
             nodes: peers.into_iter().map(node).collect(),
             now,
             loss: 0.0,
-            cut: Box::new(|_, _| false),
+            drop_rule: Box::new(|_, _| false),
             events: BTreeMap::new(),
-            number: 0,
+            event_number: 0,
             rng: StdRng::seed_from_u64(seed),
             started: now,
-            last: 0,
+            last_failed: 0,
         };
         for index in 0..network.nodes.len() {
-            let phase = network.rng.random_range(0..TICK.as_micros());
-            let phase = Duration::from_micros(u64::try_from(phase).expect("a small number"));
+            let phase = network.rng.random_range(0..TICK_INTERVAL.as_micros());
+            let phase = Duration::from_micros(u64::try_from(phase).expect("a short time"));
             network.push(now + phase, Event::Tick(index));
         }
         network
     }
 
     fn push(&mut self, at: Instant, event: Event) {
-        self.number += 1;
-        self.events.insert((at, self.number), event);
+        self.event_number += 1;
+        self.events.insert((at, self.event_number), event);
     }
 
-    /// Cuts the datagrams that `cut` names, from now on.
-    pub fn partition(&mut self, cut: impl Fn(usize, usize) -> bool + 'static) {
-        self.cut = Box::new(cut);
+    /// Drops the datagrams that `dropped` selects, until [`Self::heal`].
+    pub fn partition(&mut self, dropped: impl Fn(usize, usize) -> bool + 'static) {
+        self.drop_rule = Box::new(dropped);
     }
 
     pub fn heal(&mut self) {
@@ -255,12 +255,12 @@
         self.nodes[index].running = false;
     }
 
-    /// The process stands still for a while; what arrives waits in its socket.
+    /// Suspends the process of a VM; arriving datagrams are queued.
     pub fn pause(&mut self, index: usize, time: Duration) {
         self.nodes[index].paused = Some(self.now + time);
     }
 
-    /// Changes what a VM says of itself.
+    /// Changes the announcement of a VM.
     pub fn update(&mut self, index: usize, change: impl FnOnce(&mut Beat)) {
         let node = &mut self.nodes[index];
         change(&mut node.announcement);
@@ -272,13 +272,13 @@
         self.nodes[index].peer.view(now)
     }
 
-    /// Whether `good` holds of the view of every VM that is up.
-    pub fn all_views(&mut self, good: impl Fn(&View) -> bool) -> bool {
-        // The VM that failed the last check is asked first: a view of every VM is costly.
+    /// Whether the view of every running VM satisfies `predicate`.
+    pub fn all_views(&mut self, predicate: impl Fn(&View) -> bool) -> bool {
+        // Views are costly, so the check starts with the VM that failed the last time.
         let size = self.nodes.len();
-        for index in (self.last..size).chain(0..self.last) {
-            if self.nodes[index].running && !good(&self.view(index)) {
-                self.last = index;
+        for index in (self.last_failed..size).chain(0..self.last_failed) {
+            if self.nodes[index].running && !predicate(&self.view(index)) {
+                self.last_failed = index;
                 return false;
             }
         }
@@ -289,13 +289,13 @@
         self.nodes.iter().filter(|node| node.running).count()
     }
 
-    /// Whether everybody holds exactly the VMs that are up.
+    /// Whether every view contains exactly the running VMs.
     pub fn is_converged(&mut self) -> bool {
         let running = self.running();
         self.all_views(|view| view.members.len() == running)
     }
 
-    /// Lets time pass.
+    /// Advances the clock and processes the events in between.
     pub fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while let Some(entry) = self.events.first_entry() {
@@ -305,33 +305,33 @@
             }
             let event = entry.remove();
             self.now = at;
-            self.perform(event);
+            self.handle(event);
         }
         self.now = until;
     }
 
-    /// Lets time pass until `good`, looking every 50 ms; the time that it took.
+    /// Advances the clock until `condition` holds, and returns the elapsed time; `None` past `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
-        mut good: impl FnMut(&mut Self) -> bool,
+        mut condition: impl FnMut(&mut Self) -> bool,
     ) -> Option<Duration> {
         let start = self.now;
         while self.now - start <= limit {
-            if good(self) {
+            if condition(self) {
                 return Some(self.now - start);
             }
-            self.run(TICK);
+            self.run(TICK_INTERVAL);
         }
         None
     }
 
-    fn perform(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Tick(index) => {
-                self.push(self.now + TICK, Event::Tick(index));
+                self.push(self.now + TICK_INTERVAL, Event::Tick(index));
                 let now = self.now;
-                self.step(index, |peer| peer.tick(now));
+                self.run_node(index, |peer| peer.tick(now));
             }
             Event::Deliver { from, to, datagram } => {
                 if let Some(until) = self.nodes[to].paused
@@ -343,57 +343,57 @@
                 let node = &mut self.nodes[to];
                 if node.running {
                     node.received += 1;
-                    node.received_bytes += (datagram.len() + HEADERS) as u64;
+                    node.received_bytes += (datagram.len() + HEADER_BYTES) as u64;
                 }
                 let now = self.now;
-                self.step(to, |peer| peer.take(now, address(from), &datagram));
+                self.run_node(to, |peer| peer.receive(now, address(from), &datagram));
             }
         }
     }
 
-    fn step(&mut self, index: usize, act: impl FnOnce(&mut P) -> Vec<Datagram>) {
+    fn run_node(&mut self, index: usize, action: impl FnOnce(&mut P) -> Vec<Datagram>) {
         let node = &mut self.nodes[index];
         if !node.running || node.paused.is_some_and(|until| until > self.now) {
             return;
         }
         let start = std::time::Instant::now();
-        let sent = act(&mut node.peer);
-        node.spent += start.elapsed();
+        let sent = action(&mut node.peer);
+        node.protocol_time += start.elapsed();
         for (to, datagram) in sent {
-            self.post(index, to, datagram);
+            self.send(index, to, datagram);
         }
     }
 
-    fn post(&mut self, from: usize, to: SocketAddr, datagram: Vec<u8>) {
+    fn send(&mut self, from: usize, to: SocketAddr, datagram: Vec<u8>) {
         let node = &mut self.nodes[from];
         node.sent += 1;
-        node.sent_bytes += (datagram.len() + HEADERS) as u64;
-        node.largest = node.largest.max(datagram.len());
+        node.sent_bytes += (datagram.len() + HEADER_BYTES) as u64;
+        node.largest_datagram = node.largest_datagram.max(datagram.len());
         let Some(to) = index_of(to).filter(|to| *to < self.nodes.len()) else {
             return;
         };
-        if (self.cut)(from, to) || self.rng.random_bool(self.loss) {
+        if (self.drop_rule)(from, to) || self.rng.random_bool(self.loss) {
             return;
         }
-        let near = (from % ZONES) % 2 == (to % ZONES) % 2;
-        let base = if near { 1000 } else { 40_000 };
-        let delay = Duration::from_micros(self.rng.random_range(base..base * 2));
+        let same_region = (from % ZONES) % 2 == (to % ZONES) % 2;
+        let base_delay_us = if same_region { 1000 } else { 40_000 };
+        let delay = Duration::from_micros(self.rng.random_range(base_delay_us..base_delay_us * 2));
         self.push(self.now + delay, Event::Deliver { from, to, datagram });
     }
 
-    /// Time since the start.
+    /// Simulated time since the start.
     pub fn elapsed(&self) -> Duration {
         self.now - self.started
     }
 
-    /// Sets the counters of traffic and processor time to zero.
+    /// Resets the counters of traffic and processor time.
     pub fn reset(&mut self) {
         for node in &mut self.nodes {
             node.sent = 0;
             node.sent_bytes = 0;
             node.received = 0;
             node.received_bytes = 0;
-            node.spent = Duration::ZERO;
+            node.protocol_time = Duration::ZERO;
         }
     }
 }
--- a/benches/control/heartbeats.rs
+++ b/benches/control/heartbeats.rs
@@ -1,4 +1,4 @@
-//! The baseline: each VM sends all that it says of itself to every other, five times a second.
+//! Baseline protocol: each VM sends its full state to every other VM five times a second.
 
 use crate::exchange::{Datagram, Protocol};
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,39 +8,38 @@
 use vanillatrail::id::{Offset, Vm};
 use vanillatrail::member::{Beat, Member, View};
 
-/// Time between heartbeats.
-const PERIOD: Duration = Duration::from_millis(200);
-/// Silence after which a member leaves the view.
-const SILENCE: Duration = Duration::from_secs(2);
-/// Bytes of the seal.
-const SEAL: usize = 16;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// Time without heartbeats after which a member is removed.
+const MEMBER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Size of the authentication code.
+const SEAL_BYTES: usize = 16;
 
-/// One VM that sends full heartbeats.
+/// VM that sends full heartbeats.
 pub struct Heartbeats {
     key: [u8; 32],
-    beat: Beat,
-    heard: BTreeMap<Vm, (Instant, Beat)>,
+    announcement: Beat,
+    last_heartbeats: BTreeMap<Vm, (Instant, Beat)>,
     seeds: Vec<SocketAddr>,
-    due: Instant,
-    /// Members that left the view though they were alive, or not.
+    next_send: Instant,
+    /// Number of members that timed out, rightly or not.
     pub removals: u64,
 }
 
 impl Heartbeats {
-    pub fn new(now: Instant, beat: Beat, seeds: Vec<SocketAddr>) -> Self {
+    pub fn new(now: Instant, announcement: Beat, seeds: Vec<SocketAddr>) -> Self {
         Self {
             key: blake3::derive_key("vanillatrail peer key", b"a key for tests only"),
-            beat,
-            heard: BTreeMap::new(),
+            announcement,
+            last_heartbeats: BTreeMap::new(),
             seeds,
-            due: now,
+            next_send: now,
             removals: 0,
         }
     }
 
     fn seal(&self) -> Vec<u8> {
-        let body = rmp_serde::to_vec(&self.beat).expect("a heartbeat can be encoded");
-        let mut datagram = blake3::keyed_hash(&self.key, &body).as_bytes()[..SEAL].to_vec();
+        let body = rmp_serde::to_vec(&self.announcement).expect("an announcement can be encoded");
+        let mut datagram = blake3::keyed_hash(&self.key, &body).as_bytes()[..SEAL_BYTES].to_vec();
         datagram.extend(body);
         datagram
     }
@@ -48,35 +47,45 @@
 
 impl Protocol for Heartbeats {
     fn tick(&mut self, now: Instant) -> Vec<Datagram> {
-        if now < self.due {
+        if now < self.next_send {
             return Vec::new();
         }
-        self.due = now + PERIOD;
-        let before = self.heard.len();
-        self.heard.retain(|_, (at, _)| now - *at < SILENCE);
-        self.removals += (before - self.heard.len()) as u64;
-        self.heard
-            .insert(self.beat.vm.clone(), (now, self.beat.clone()));
-        let known = self.heard.values().map(|(_, beat)| beat.address);
-        let targets: BTreeSet<SocketAddr> = known.chain(self.seeds.iter().copied()).collect();
+        self.next_send = now + HEARTBEAT_INTERVAL;
+        let count_before = self.last_heartbeats.len();
+        self.last_heartbeats
+            .retain(|_, (at, _)| now - *at < MEMBER_TIMEOUT);
+        self.removals += (count_before - self.last_heartbeats.len()) as u64;
+        self.last_heartbeats.insert(
+            self.announcement.vm.clone(),
+            (now, self.announcement.clone()),
+        );
+        let member_addresses = self
+            .last_heartbeats
+            .values()
+            .map(|(_, announcement)| announcement.address);
+        let targets: BTreeSet<SocketAddr> =
+            member_addresses.chain(self.seeds.iter().copied()).collect();
         let datagram = self.seal();
-        let others = targets.into_iter().filter(|to| *to != self.beat.address);
+        let others = targets
+            .into_iter()
+            .filter(|to| *to != self.announcement.address);
         others.map(|to| (to, datagram.clone())).collect()
     }
 
-    fn take(&mut self, now: Instant, _from: SocketAddr, datagram: &[u8]) -> Vec<Datagram> {
-        let (seal, body) = datagram.split_at(SEAL);
-        assert!(blake3::keyed_hash(&self.key, body).as_bytes()[..SEAL] == *seal);
-        let beat: Beat = rmp_serde::from_slice(body).expect("sent by a peer");
-        self.heard.insert(beat.vm.clone(), (now, beat));
+    fn receive(&mut self, now: Instant, _from: SocketAddr, datagram: &[u8]) -> Vec<Datagram> {
+        let (seal, body) = datagram.split_at(SEAL_BYTES);
+        assert!(blake3::keyed_hash(&self.key, body).as_bytes()[..SEAL_BYTES] == *seal);
+        let announcement: Beat = rmp_serde::from_slice(body).expect("sent by a peer");
+        self.last_heartbeats
+            .insert(announcement.vm.clone(), (now, announcement));
         Vec::new()
     }
 
     fn view(&mut self, now: Instant) -> View {
-        let heard = self.heard.values();
-        let members = heard
-            .filter(|(at, _)| now - *at < SILENCE)
-            .map(|(_, beat)| {
+        let last_heartbeats = self.last_heartbeats.values();
+        let members = last_heartbeats
+            .filter(|(at, _)| now - *at < MEMBER_TIMEOUT)
+            .map(|(_, announcement)| {
                 let Beat {
                     vm,
                     zone,
@@ -86,7 +95,7 @@
                     ready,
                     applied,
                     held,
-                } = beat.clone();
+                } = announcement.clone();
                 let member = Member {
                     vm: vm.clone(),
                     zone,
@@ -109,7 +118,7 @@
         }
     }
 
-    fn local(&mut self, beat: &Beat) {
-        self.beat = beat.clone();
+    fn local(&mut self, announcement: &Beat) {
+        self.announcement = announcement.clone();
     }
 }
--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,6 +1,5 @@
-//! What one decision costs: a call asked for, granted and done, beside calls that wait.
-//!
-//! The figure to read is the slope over servers and programs, not a time.
+//! Cost of one scheduling decision (requesting, granting and finishing a call) while other calls are
+//! queued, and of one admission decision, for several numbers of servers and programs.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::hint::black_box;
@@ -12,10 +11,10 @@
 
 const SERVERS: [usize; 3] = [10, 100, 3_600];
 const PROGRAMS: [u64; 3] = [100, 10_000, 87_000];
-/// Enough calls to fill every window.
-const PER_SERVER: u64 = 64;
+/// Calls per server that suffice to fill every concurrency window.
+const MAX_CALLS_PER_SERVER: u64 = 64;
 
-fn ask(program: u64) -> Request {
+fn call_request(program: u64) -> Request {
     Request {
         program: Program::new(Shard(0), u128::from(program)),
         class: None,
@@ -29,25 +28,25 @@
     }
 }
 
-/// A pool whose windows are full and where `waiting` calls wait.
+/// Pool with full concurrency windows and `waiting` queued calls.
 fn pool(now: Instant, servers: usize, waiting: u64) -> Pool {
     let mut pool = Pool::default();
-    let name = |index| format!("server-{index}").parse().expect("a plain name");
+    let name = |index| format!("server-{index}").parse().expect("a valid name");
     let names: Vec<Server> = (0..servers).map(name).collect();
     pool.set_servers(&names);
-    let filling = servers as u64 * PER_SERVER;
+    let max_calls = servers as u64 * MAX_CALLS_PER_SERVER;
     let mut permit = 0;
-    while pool.load().0 == 0 && permit < filling {
-        // `load` is linear in the servers: it is looked at once for each batch of calls.
+    while pool.load().0 == 0 && permit < max_calls {
+        // `load` is linear in the number of servers, so it runs once per batch of calls.
         for _ in 0..servers {
             permit += 1;
-            pool.request(now, Permit(permit), ask(permit));
+            pool.request(now, Permit(permit), call_request(permit));
         }
     }
     let missing = waiting.saturating_sub(pool.load().0 as u64);
     for _ in 0..missing {
         permit += 1;
-        pool.request(now, Permit(permit), ask(permit));
+        pool.request(now, Permit(permit), call_request(permit));
     }
     pool
 }
@@ -59,15 +58,17 @@
     for servers in SERVERS {
         for waiting in PROGRAMS {
             let mut pool = pool(now, servers, waiting);
-            let mut next = 1_000_000;
+            let mut next_permit = 1_000_000;
             let mut running = vec![Permit(1)];
             let id = BenchmarkId::new(format!("{servers} servers"), waiting);
             group.bench_function(id, |bencher| {
                 bencher.iter(|| {
-                    next += 1;
-                    black_box(pool.request(now, Permit(next), ask(next)));
-                    let done = running.pop().expect("each end lets another call start");
-                    let actions = pool.finish(now, done, None);
+                    next_permit += 1;
+                    black_box(pool.request(now, Permit(next_permit), call_request(next_permit)));
+                    let finished = running
+                        .pop()
+                        .expect("each finished call lets another one start");
+                    let actions = pool.finish(now, finished, None);
                     running.extend(actions.iter().filter_map(|action| match action {
                         Action::Grant(permit, _) => Some(*permit),
                         _ => None,
@@ -84,15 +85,15 @@
     group.sample_size(20);
     let now = Instant::now();
     for programs in PROGRAMS {
-        let mut gate = Admission::default();
+        let mut admission = Admission::default();
         for program in 0..programs {
-            let by = now + Duration::from_millis(program * 41 % 3_600_000);
+            let deadline = now + Duration::from_millis(program * 41 % 3_600_000);
             let id = Program::new(Shard(0), u128::from(program));
-            gate.reserve(now, id, by, 1_000.0);
+            admission.reserve(now, id, deadline, 1_000.0);
         }
         group.bench_function(BenchmarkId::from_parameter(programs), |bencher| {
-            let by = now + Duration::from_mins(1);
-            bencher.iter(|| black_box(gate.admit(now, by, 1_000.0, 3_600.0)));
+            let deadline = now + Duration::from_mins(1);
+            bencher.iter(|| black_box(admission.admit(now, deadline, 1_000.0, 3_600.0)));
         });
     }
     group.finish();
--- a/tests/member.rs
+++ b/tests/member.rs
@@ -368,7 +368,7 @@
     let largest = exchange
         .nodes
         .iter()
-        .map(|node| node.largest)
+        .map(|node| node.largest_datagram)
         .max()
         .unwrap();
     assert!(largest <= vanillatrail::member::DATAGRAM, "{largest}");
