--- a/benches/policy/arrival.rs
+++ b/benches/policy/arrival.rs
@@ -1,41 +1,43 @@
-//! The programs of one run: who calls when, and what each program turns out to need.
+//! Generates the programs of one run: arrival times, callers, turns and token counts.
 
-use crate::assume::{
-    BATCH, CHUNK, HANG, HANG_SHARE, LOOP_SHARE, STEP, STEP_PER_CALL, STEP_PER_CHUNK, Scenario,
-};
 use crate::fault::Fault;
+use crate::parameters::{
+    CHUNK_TOKENS, HANG_S, HANG_SHARE, LOOP_SHARE, MAX_BATCH_CALLS, STEP_PER_CALL_S,
+    STEP_PER_CHUNK_S, STEP_S, Scenario,
+};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-/// What a program does after an answer.
+/// Step of a program after an answer.
 #[derive(Debug, Clone)]
 pub enum Next {
-    /// It calls a tool that takes so many seconds.
+    /// Calls a tool, with its duration in seconds.
     Tool(f64),
-    /// It starts sub-agents and waits for all of them.
+    /// Starts sub-agents, given by index, and waits for all of them.
     Spawn(Vec<usize>),
     End,
 }
 
-/// One model call and what follows it.
+/// Model call and the step after it.
 #[derive(Debug, Clone)]
 pub struct Turn {
     pub prompt: u64,
     pub generated: u64,
-    /// What the caller declares as the most tokens.
+    /// Limit on the generated tokens that the caller declares.
     pub max_tokens: u64,
     pub next: Next,
 }
 
-/// What one program will do.
+/// Everything that one program will do.
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub class: usize,
     pub caller: usize,
-    /// Seconds from the start; a sub-agent starts when its parent spawns it.
+    /// Arrival time in seconds; unused for sub-agents, which start when their parent spawns them.
     pub at: f64,
     pub parent: Option<usize>,
     pub turns: Vec<Turn>,
+    /// Whether the program repeats turns until its turn limit.
     pub loops: bool,
 }
 
@@ -50,24 +52,24 @@
     clippy::cast_sign_loss,
     reason = "small and positive"
 )]
-fn tokens(rng: &mut SmallRng, median: f64) -> u64 {
+fn draw_tokens(rng: &mut SmallRng, median: f64) -> u64 {
     lognormal(rng, median, 0.5).max(8.0) as u64
 }
 
-/// Engine seconds that a program needs when every cached prefix is found and batches are full.
-pub fn work(plan: &Plan) -> f64 {
-    let step = STEP + STEP_PER_CALL * BATCH as f64;
-    let mut known = 0;
+/// Engine time in seconds that a program needs with full batches and a perfect prefix cache.
+pub fn engine_time(plan: &Plan) -> f64 {
+    let step = STEP_S + STEP_PER_CALL_S * MAX_BATCH_CALLS as f64;
+    let mut cached = 0;
     let mut total = 0.0;
     for turn in &plan.turns {
-        total += (turn.prompt - known) as f64 / CHUNK * STEP_PER_CHUNK;
-        total += turn.generated as f64 * step / BATCH as f64;
-        known = turn.prompt + turn.generated;
+        total += (turn.prompt - cached) as f64 / CHUNK_TOKENS * STEP_PER_CHUNK_S;
+        total += turn.generated as f64 * step / MAX_BATCH_CALLS as f64;
+        cached = turn.prompt + turn.generated;
     }
     total
 }
 
-struct Maker<'a> {
+struct Generator<'a> {
     scenario: &'a Scenario,
     fault: Option<Fault>,
     horizon: f64,
@@ -75,9 +77,9 @@
     plans: Vec<Plan>,
 }
 
-impl Maker<'_> {
+impl Generator<'_> {
     fn program(&mut self, class: usize, caller: usize, at: f64, parent: Option<usize>) -> usize {
-        let shape = self.scenario.classes[class];
+        let params = self.scenario.classes[class];
         let index = self.plans.len();
         let loops = self.fault == Some(Fault::Loops) && self.rng.random_bool(LOOP_SHARE);
         self.plans.push(Plan {
@@ -89,61 +91,73 @@
             loops,
         });
         let count = if loops {
-            10 * shape.turn_limit
+            10 * params.turn_limit
         } else {
-            self.rng.random_range(shape.turns.0..=shape.turns.1)
+            self.rng.random_range(params.turns.0..=params.turns.1)
         };
-        let mut size = 0;
+        let mut context_tokens = 0;
         let mut turns = Vec::new();
-        for number in 0..count.min(shape.turn_limit) {
+        for number in 0..count.min(params.turn_limit) {
             let added = if number == 0 {
-                shape.opening
+                params.first_prompt
             } else {
-                shape.added
+                params.added_prompt
             };
-            size += tokens(&mut self.rng, added);
-            let generated = tokens(&mut self.rng, shape.generated);
+            context_tokens += draw_tokens(&mut self.rng, added);
+            let generated = draw_tokens(&mut self.rng, params.generated);
             let next = self.next(index, class, caller, number, count);
             turns.push(Turn {
-                prompt: size,
+                prompt: context_tokens,
                 generated,
                 max_tokens: (generated * 3 / 2).next_multiple_of(256),
                 next,
             });
-            size += generated;
+            context_tokens += generated;
         }
         self.plans[index].turns = turns;
         index
     }
 
-    fn next(&mut self, parent: usize, class: usize, caller: usize, at: usize, of: usize) -> Next {
-        let shape = self.scenario.classes[class];
-        if at + 1 == of {
+    fn next(
+        &mut self,
+        parent: usize,
+        class: usize,
+        caller: usize,
+        turn: usize,
+        count: usize,
+    ) -> Next {
+        let params = self.scenario.classes[class];
+        if turn + 1 == count {
             return Next::End;
         }
-        if at == of / 2 && shape.children.1 > 0 {
-            let count = self.rng.random_range(shape.children.0..=shape.children.1);
-            let children = (0..count).map(|_| self.program(shape.child, caller, 0.0, Some(parent)));
+        if turn == count / 2 && params.children.1 > 0 {
+            let children = self.rng.random_range(params.children.0..=params.children.1);
+            let children =
+                (0..children).map(|_| self.program(params.child, caller, 0.0, Some(parent)));
             return Next::Spawn(children.collect());
         }
         let hangs = self.fault == Some(Fault::Hangs) && self.rng.random_bool(HANG_SHARE);
-        let usual = lognormal(&mut self.rng, shape.tool, 0.6);
-        Next::Tool(if hangs { HANG.max(usual) } else { usual })
+        let duration = lognormal(&mut self.rng, params.tool_s, 0.6);
+        Next::Tool(if hangs {
+            HANG_S.max(duration)
+        } else {
+            duration
+        })
     }
 
-    /// The rate of a class now, against its mean: one wave whose crest is at 60% of the run.
-    fn wave(&self, class: usize, at: f64) -> f64 {
+    /// Arrival rate of a class relative to its mean: a single peak at 60% of the run.
+    fn relative_rate(&self, class: usize, at: f64) -> f64 {
         let peak = self.scenario.classes[class].peak;
         let distance = ((at / self.horizon - 0.6) / 0.15).abs();
-        let height = (1.0 - distance).max(0.0);
-        // The area under the crest is taken from the rest, so that the mean stays.
+        let peak_height = (1.0 - distance).max(0.0);
+        // The floor is lowered by the area of the peak, so that the mean does not change.
         let floor = 1.0 - (peak - 1.0) * 0.15;
         let floor = floor.max(0.2);
-        floor + (peak - floor) * height
+        floor + (peak - floor) * peak_height
     }
 }
 
-/// Programs that arrive over `horizon` seconds at `load` of what the engines can do.
+/// Programs that arrive within `horizon` seconds; `load` is relative to the capacity of the engines.
 pub fn plans(
     scenario: &Scenario,
     load: f64,
@@ -151,45 +165,45 @@
     seed: u64,
     fault: Option<Fault>,
 ) -> Vec<Plan> {
-    let mut maker = Maker {
+    let mut generator = Generator {
         scenario,
         fault: None,
         horizon,
         rng: SmallRng::seed_from_u64(seed),
         plans: Vec::new(),
     };
-    let mean = mean_work(&mut maker);
-    maker.plans.clear();
-    maker.fault = fault;
+    let mean = mean_engine_time(&mut generator);
+    generator.plans.clear();
+    generator.fault = fault;
     let rate = load * scenario.engines as f64 / mean;
-    for (class, shape) in scenario.classes.iter().enumerate() {
-        let most = rate * shape.share * shape.peak.max(1.0);
-        if most > 0.0 {
-            maker.arrivals(class, most);
+    for (class, params) in scenario.classes.iter().enumerate() {
+        let max_rate = rate * params.share * params.peak.max(1.0);
+        if max_rate > 0.0 {
+            generator.arrivals(class, max_rate);
         }
     }
-    maker.plans
+    generator.plans
 }
 
-impl Maker<'_> {
-    /// Programs of one class that arrive at a rate of at most `most`.
-    fn arrivals(&mut self, class: usize, most: f64) {
+impl Generator<'_> {
+    /// Adds the programs of one class: a Poisson process thinned from `max_rate` to the current rate.
+    fn arrivals(&mut self, class: usize, max_rate: f64) {
         let peak = self.scenario.classes[class].peak.max(1.0);
         let mut at = 0.0;
         loop {
-            at += -self.rng.random_range(1e-9..1.0_f64).ln() / most;
+            at += -self.rng.random_range(1e-9..1.0_f64).ln() / max_rate;
             if at >= self.horizon {
                 return;
             }
-            let keep = self.wave(class, at) / peak;
-            if self.rng.random_bool(keep.clamp(0.0, 1.0)) {
+            let acceptance = self.relative_rate(class, at) / peak;
+            if self.rng.random_bool(acceptance.clamp(0.0, 1.0)) {
                 let caller = self.caller();
                 self.program(class, caller, at, None);
             }
         }
     }
 
-    /// A few callers make most of the calls.
+    /// Draws a caller; low numbers are more likely.
     fn caller(&mut self) -> usize {
         let (a, b) = (
             self.rng.random_range(0..self.scenario.callers),
@@ -199,37 +213,37 @@
     }
 }
 
-fn mean_work(maker: &mut Maker) -> f64 {
-    const SAMPLE: usize = 400;
+fn mean_engine_time(generator: &mut Generator) -> f64 {
+    const SAMPLE_PROGRAMS: usize = 400;
     let mut mean = 0.0;
-    for class in 0..maker.scenario.classes.len() {
-        let share = maker.scenario.classes[class].share;
+    for class in 0..generator.scenario.classes.len() {
+        let share = generator.scenario.classes[class].share;
         if share > 0.0 {
-            let from = maker.plans.len();
-            for _ in 0..SAMPLE {
-                maker.program(class, 0, 0.0, None);
+            let from = generator.plans.len();
+            for _ in 0..SAMPLE_PROGRAMS {
+                generator.program(class, 0, 0.0, None);
             }
-            let sum: f64 = maker.plans[from..].iter().map(work).sum();
-            mean += share * sum / SAMPLE as f64;
+            let sum: f64 = generator.plans[from..].iter().map(engine_time).sum();
+            mean += share * sum / SAMPLE_PROGRAMS as f64;
         }
     }
     mean
 }
 
-/// Seconds that a program takes alone on an idle pool.
-pub fn alone(plans: &[Plan], index: usize) -> f64 {
-    let mut known = 0;
+/// Duration in seconds of a program that runs alone on an idle pool.
+pub fn time_alone(plans: &[Plan], index: usize) -> f64 {
+    let mut cached = 0;
     let mut total = 0.0;
     for turn in &plans[index].turns {
-        let chunks = ((turn.prompt - known) as f64 / CHUNK).ceil();
-        total += chunks * (STEP + STEP_PER_CHUNK);
-        total += turn.generated as f64 * (STEP + STEP_PER_CALL);
-        known = turn.prompt + turn.generated;
+        let chunks = ((turn.prompt - cached) as f64 / CHUNK_TOKENS).ceil();
+        total += chunks * (STEP_S + STEP_PER_CHUNK_S);
+        total += turn.generated as f64 * (STEP_S + STEP_PER_CALL_S);
+        cached = turn.prompt + turn.generated;
         total += match &turn.next {
             Next::Tool(seconds) => *seconds,
             Next::Spawn(children) => children
                 .iter()
-                .map(|child| alone(plans, *child))
+                .map(|child| time_alone(plans, *child))
                 .fold(0.0, f64::max),
             Next::End => 0.0,
         };
--- a/benches/policy/engine.rs
+++ b/benches/policy/engine.rs
@@ -1,90 +1,90 @@
-//! A small engine: continuous batching, a limited prefix cache, no priorities.
+//! Simulated engine with continuous batching, a limited prefix cache and FIFO order.
 
-use crate::assume::{BATCH, CHUNK, STEP, STEP_PER_CALL, STEP_PER_CHUNK};
+use crate::parameters::{CHUNK_TOKENS, MAX_BATCH_CALLS, STEP_PER_CALL_S, STEP_PER_CHUNK_S, STEP_S};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A call as the engine sees it.
+/// Call that is sent to an engine.
 #[derive(Debug, Clone)]
 pub struct Call {
     pub id: u64,
     pub program: usize,
     pub prompt: u64,
     pub generated: u64,
-    pub sent: f64,
+    pub sent_at: f64,
 }
 
-/// A call that is over.
+/// Completed call.
 #[derive(Debug, Clone)]
 pub struct Finished {
     pub call: Call,
     pub cached: u64,
-    pub first: f64,
+    pub first_token_at: f64,
 }
 
 #[derive(Debug)]
 struct Entry {
     tokens: u64,
-    used: u64,
+    last_used: u64,
     pinned: bool,
-    ended: Option<f64>,
+    ended_at: Option<f64>,
 }
 
 #[derive(Debug)]
 struct Running {
     call: Call,
     cached: u64,
-    first: f64,
+    first_token_at: f64,
 }
 
-/// Order of steps, as an integer so that it can be a key.
-fn key(step: f64, id: u64) -> (u64, u64) {
+/// Key that sorts calls by the step in which they finish.
+fn step_key(step: f64, id: u64) -> (u64, u64) {
     (step.to_bits(), id)
 }
 
-/// One engine.
+/// Simulated engine. Time is in seconds, progress in engine steps.
 #[derive(Debug)]
 pub struct Engine {
     pub alive: bool,
-    pub slower: f64,
-    /// Counts changes, so that an event for an older state is known as such.
+    pub slowdown: f64,
+    /// Incremented when an event is scheduled, to recognise outdated events.
     pub generation: u64,
-    memory: u64,
+    max_cache_tokens: u64,
     steps: f64,
-    last: f64,
-    waiting: VecDeque<Call>,
+    last_update: f64,
+    queued: VecDeque<Call>,
     prefilling: VecDeque<(u64, f64)>,
-    head_from: f64,
+    prefill_start_step: f64,
     decoding: BTreeMap<(u64, u64), u64>,
     running: BTreeMap<u64, Running>,
     cache: BTreeMap<usize, Entry>,
-    order: BTreeSet<(u64, usize)>,
-    clock: u64,
-    held: u64,
-    pub dropped: Vec<usize>,
-    /// Token-seconds held for programs that had ended.
-    pub held_ended: f64,
+    lru_order: BTreeSet<(u64, usize)>,
+    use_counter: u64,
+    cached_tokens: u64,
+    pub evicted_programs: Vec<usize>,
+    /// Token-seconds of cache held for programs that have ended.
+    pub held_after_end: f64,
 }
 
 impl Engine {
-    pub fn new(memory: u64) -> Self {
+    pub fn new(max_cache_tokens: u64) -> Self {
         Self {
             alive: true,
-            slower: 1.0,
+            slowdown: 1.0,
             generation: 0,
-            memory,
+            max_cache_tokens,
             steps: 0.0,
-            last: 0.0,
-            waiting: VecDeque::new(),
+            last_update: 0.0,
+            queued: VecDeque::new(),
             prefilling: VecDeque::new(),
-            head_from: 0.0,
+            prefill_start_step: 0.0,
             decoding: BTreeMap::new(),
             running: BTreeMap::new(),
             cache: BTreeMap::new(),
-            order: BTreeSet::new(),
-            clock: 0,
-            held: 0,
-            dropped: Vec::new(),
-            held_ended: 0.0,
+            lru_order: BTreeSet::new(),
+            use_counter: 0,
+            cached_tokens: 0,
+            evicted_programs: Vec::new(),
+            held_after_end: 0.0,
         }
     }
 
@@ -92,110 +92,114 @@
         let chunk = if self.prefilling.is_empty() {
             0.0
         } else {
-            STEP_PER_CHUNK
+            STEP_PER_CHUNK_S
         };
-        (STEP + STEP_PER_CALL * self.decoding.len() as f64 + chunk) * self.slower
+        (STEP_S + STEP_PER_CALL_S * self.decoding.len() as f64 + chunk) * self.slowdown
     }
 
     fn advance(&mut self, now: f64) {
-        self.steps += (now - self.last) / self.step_time();
-        self.last = now;
+        self.steps += (now - self.last_update) / self.step_time();
+        self.last_update = now;
     }
 
     fn next_step(&self) -> Option<f64> {
         let decode = self
             .decoding
             .first_key_value()
-            .map(|(key, _)| f64::from_bits(key.0));
+            .map(|(step_key, _)| f64::from_bits(step_key.0));
         let prefill = self
             .prefilling
             .front()
-            .map(|(_, chunks)| self.head_from + chunks);
+            .map(|(_, chunks)| self.prefill_start_step + chunks);
         [decode, prefill]
             .into_iter()
             .flatten()
             .min_by(f64::total_cmp)
     }
 
-    /// When something next happens here.
+    /// Time of the next event at this engine.
     pub fn next_event(&self) -> Option<f64> {
         let step = self.next_step()?;
-        Some(self.last + (step - self.steps).max(0.0) * self.step_time())
+        Some(self.last_update + (step - self.steps).max(0.0) * self.step_time())
     }
 
-    /// Changes how slow the engine is.
-    pub fn set_slower(&mut self, now: f64, slower: f64) {
+    /// Sets the factor on the duration of a step.
+    pub fn set_slowdown(&mut self, now: f64, slowdown: f64) {
         self.advance(now);
-        self.slower = slower;
+        self.slowdown = slowdown;
     }
 
     pub fn send(&mut self, now: f64, call: Call) {
         self.advance(now);
-        self.waiting.push_back(call);
-        self.admit(now);
+        self.queued.push_back(call);
+        self.start_queued(now);
     }
 
-    fn admit(&mut self, now: f64) {
-        while self.running.len() < BATCH {
-            let Some(call) = self.waiting.front() else {
+    fn start_queued(&mut self, now: f64) {
+        while self.running.len() < MAX_BATCH_CALLS {
+            let Some(call) = self.queued.front() else {
                 return;
             };
-            let (program, need) = (call.program, call.prompt + call.generated);
-            let have = self.cache.get(&program).map_or(0, |entry| entry.tokens);
-            if !self.make_room(now, program, need.saturating_sub(have)) {
+            let (program, needed) = (call.program, call.prompt + call.generated);
+            let resident = self.cache.get(&program).map_or(0, |entry| entry.tokens);
+            if !self.make_room(now, program, needed.saturating_sub(resident)) {
                 return;
             }
-            let Some(call) = self.waiting.pop_front() else {
+            let Some(call) = self.queued.pop_front() else {
                 return;
             };
-            let cached = have.min(call.prompt);
-            self.pin(program, need.max(have));
-            let chunks = ((call.prompt - cached) as f64 / CHUNK).max(0.1);
+            let cached = resident.min(call.prompt);
+            self.pin(program, needed.max(resident));
+            let chunks = ((call.prompt - cached) as f64 / CHUNK_TOKENS).max(0.1);
             if self.prefilling.is_empty() {
-                self.head_from = self.steps;
+                self.prefill_start_step = self.steps;
             }
             self.prefilling.push_back((call.id, chunks));
-            let first = 0.0;
+            let first_token_at = 0.0;
             self.running.insert(
                 call.id,
                 Running {
                     call,
                     cached,
-                    first,
+                    first_token_at,
                 },
             );
         }
     }
 
     fn pin(&mut self, program: usize, tokens: u64) {
-        if let Some(old) = self.cache.remove(&program) {
-            self.order.remove(&(old.used, program));
-            self.held -= old.tokens;
+        if let Some(previous) = self.cache.remove(&program) {
+            self.lru_order.remove(&(previous.last_used, program));
+            self.cached_tokens -= previous.tokens;
         }
-        self.held += tokens;
+        self.cached_tokens += tokens;
         let entry = Entry {
             tokens,
-            used: 0,
+            last_used: 0,
             pinned: true,
-            ended: None,
+            ended_at: None,
         };
         self.cache.insert(program, entry);
     }
 
-    /// Drops the caches used longest ago until `need` more tokens fit.
-    fn make_room(&mut self, now: f64, keep: usize, need: u64) -> bool {
-        while self.held + need > self.memory {
-            let oldest = self.order.iter().find(|(_, program)| *program != keep);
-            let Some(&(_, program)) = oldest else {
+    /// Evicts the least recently used caches until `needed` more tokens fit. An idle engine accepts a
+    /// call of any size.
+    fn make_room(&mut self, now: f64, kept_program: usize, needed: u64) -> bool {
+        while self.cached_tokens + needed > self.max_cache_tokens {
+            let least_recent = self
+                .lru_order
+                .iter()
+                .find(|(_, program)| *program != kept_program);
+            let Some(&(_, program)) = least_recent else {
                 return self.running.is_empty();
             };
             self.evict(now, program);
-            self.dropped.push(program);
+            self.evicted_programs.push(program);
         }
         true
     }
 
-    /// Frees the cache of a program, unless a call of it runs.
+    /// Evicts the cache of a program unless one of its calls runs; returns the freed tokens.
     pub fn evict(&mut self, now: f64, program: usize) -> u64 {
         let Some(entry) = self.cache.get(&program) else {
             return 0;
@@ -204,14 +208,14 @@
             return 0;
         }
         let tokens = entry.tokens;
-        self.held_ended += entry.ended.map_or(0.0, |at| (now - at) * tokens as f64);
-        self.order.remove(&(entry.used, program));
-        self.held -= tokens;
+        self.held_after_end += entry.ended_at.map_or(0.0, |at| (now - at) * tokens as f64);
+        self.lru_order.remove(&(entry.last_used, program));
+        self.cached_tokens -= tokens;
         self.cache.remove(&program);
         tokens
     }
 
-    /// Puts imported cache in.
+    /// Adds the exported cache of a program.
     pub fn import(&mut self, now: f64, program: usize, tokens: u64) {
         if self.cache.contains_key(&program) || !self.make_room(now, program, tokens) {
             return;
@@ -221,55 +225,55 @@
     }
 
     fn unpin(&mut self, program: usize, tokens: u64) {
-        self.clock += 1;
+        self.use_counter += 1;
         if let Some(entry) = self.cache.get_mut(&program) {
             entry.pinned = false;
-            entry.used = self.clock;
-            self.held = self.held - entry.tokens + tokens;
+            entry.last_used = self.use_counter;
+            self.cached_tokens = self.cached_tokens - entry.tokens + tokens;
             entry.tokens = tokens;
-            self.order.insert((self.clock, program));
+            self.lru_order.insert((self.use_counter, program));
         }
     }
 
-    /// Notes that a program has ended; what is held for it from now on is waste.
-    pub fn ended(&mut self, now: f64, program: usize) {
+    /// Notes that a program has ended, so that its cache counts as wasted from now on.
+    pub fn program_ended(&mut self, now: f64, program: usize) {
         if let Some(entry) = self.cache.get_mut(&program) {
-            entry.ended.get_or_insert(now);
+            entry.ended_at.get_or_insert(now);
         }
     }
 
-    /// Carries out what is due, and gives the calls that are over.
+    /// Processes the steps up to `now` and returns the completed calls.
     pub fn run(&mut self, now: f64) -> Vec<Finished> {
         self.advance(now);
-        let due = self.steps + 1e-6;
+        let due_step = self.steps + 1e-6;
         let mut finished = Vec::new();
         loop {
             if let Some(&(id, chunks)) = self.prefilling.front()
-                && self.head_from + chunks <= due
+                && self.prefill_start_step + chunks <= due_step
             {
                 self.prefilling.pop_front();
-                self.head_from = self.steps;
+                self.prefill_start_step = self.steps;
                 self.start_decoding(now, id);
                 continue;
             }
-            let Some((&first, &id)) = self.decoding.first_key_value() else {
+            let Some((&next_key, &id)) = self.decoding.first_key_value() else {
                 break;
             };
-            if f64::from_bits(first.0) > due {
+            if f64::from_bits(next_key.0) > due_step {
                 break;
             }
-            self.decoding.remove(&first);
+            self.decoding.remove(&next_key);
             finished.extend(self.finish(id));
         }
-        self.admit(now);
+        self.start_queued(now);
         finished
     }
 
     fn start_decoding(&mut self, now: f64, id: u64) {
         if let Some(running) = self.running.get_mut(&id) {
-            running.first = now;
-            let until = self.steps + running.call.generated as f64;
-            self.decoding.insert(key(until, id), id);
+            running.first_token_at = now;
+            let last_step = self.steps + running.call.generated as f64;
+            self.decoding.insert(step_key(last_step, id), id);
         }
     }
 
@@ -277,42 +281,42 @@
         let Running {
             call,
             cached,
-            first,
+            first_token_at,
         } = self.running.remove(&id)?;
         self.unpin(call.program, call.prompt + call.generated);
         Some(Finished {
             call,
             cached,
-            first,
+            first_token_at,
         })
     }
 
-    /// The engine dies: every call inside breaks, and the cache is gone.
-    pub fn die(&mut self, now: f64) -> Vec<Call> {
+    /// Stops the engine and clears its cache; returns the calls that break.
+    pub fn fail(&mut self, now: f64) -> Vec<Call> {
         self.advance(now);
         self.alive = false;
         self.prefilling.clear();
         self.decoding.clear();
         self.cache.clear();
-        self.order.clear();
-        self.held = 0;
+        self.lru_order.clear();
+        self.cached_tokens = 0;
         let running = std::mem::take(&mut self.running);
         let running = running.into_values().map(|running| running.call);
-        running.chain(self.waiting.drain(..)).collect()
+        running.chain(self.queued.drain(..)).collect()
     }
 }
 
 impl Engine {
-    /// Whether a call is inside.
-    pub fn has(&self, call: u64) -> bool {
-        self.running.contains_key(&call) || self.waiting.iter().any(|waiting| waiting.id == call)
+    /// Whether a call is running or queued here.
+    pub fn has_call(&self, call: u64) -> bool {
+        self.running.contains_key(&call) || self.queued.iter().any(|queued| queued.id == call)
     }
 
-    /// Counts what is still held for ended programs when the run is over.
-    pub fn close(&mut self, now: f64) {
+    /// Adds the cache that ended programs still hold at the end of the run.
+    pub fn finish_run(&mut self, now: f64) {
         for entry in self.cache.values() {
-            self.held_ended += entry
-                .ended
+            self.held_after_end += entry
+                .ended_at
                 .map_or(0.0, |at| (now - at) * entry.tokens as f64);
         }
     }
--- a/benches/policy/fault.rs
+++ b/benches/policy/fault.rs
@@ -1,21 +1,21 @@
-//! What goes wrong in a run.
+//! Faults that a run can inject.
 
 use std::fmt;
 
-/// One fault, between a third and two thirds of the run.
+/// Fault that is active during the middle third of the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// An engine dies and comes back empty.
+    /// An engine fails and restarts with an empty cache.
     EngineLost,
-    /// An engine takes three times as long as it reports.
+    /// An engine is three times slower and does not report it.
     EngineSlow,
-    /// The VM that holds the queue is lost, and what it had learned with it.
+    /// The VM with the dispatch queue fails; the queue and the learned state are lost.
     VmLost,
-    /// No cache event arrives.
+    /// No cache events arrive.
     EventsCut,
     /// Some tool calls hang.
     Hangs,
-    /// Some programs never end by themselves.
+    /// Some programs loop until their turn limit.
     Loops,
 }
 
--- a/benches/policy/main.rs
+++ b/benches/policy/main.rs
@@ -1,59 +1,60 @@
-//! The policy under load and faults against baselines, on the same arrivals.
+//! Simulates the scheduling policy and baseline schedulers on the same programs, under load and with
+//! faults.
 //!
 //! `cargo bench --bench policy -- [--seed N] [--seeds N] [--load X] [--check] [--json]`
 
+mod adapter;
 mod arrival;
-mod assume;
 mod change;
 mod engine;
 mod fault;
-mod goal;
-mod ours;
+mod metrics;
+mod parameters;
 mod report;
 mod run;
 mod scheduler;
-mod world;
+mod simulation;
 
 use clap::Parser;
-use goal::Lines;
+use metrics::Metrics;
 use run::Plan;
 use std::process::ExitCode;
 
-/// What to measure.
+/// Command line of the benchmark.
 #[derive(Debug, Clone, Parser)]
 #[expect(clippy::struct_excessive_bools, reason = "switches of a command line")]
 struct Options {
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds to run.
+    /// Number of seeds.
     #[arg(long)]
     seeds: Option<u64>,
-    /// Only this share of the capacity.
+    /// Run only this load, as a share of the capacity.
     #[arg(long)]
     load: Option<f64>,
-    /// Only the scenario of this name.
+    /// Run only the scenario of this name.
     #[arg(long)]
     scenario: Option<String>,
-    /// Leave out the runs with faults.
+    /// Skip the runs with faults.
     #[arg(long)]
     no_faults: bool,
-    /// Only ours, whole and with each part switched off in turn.
+    /// Run only this project's scheduler: complete, and with each feature disabled in turn.
     #[arg(long)]
     ablate: bool,
-    /// Seconds over which programs arrive.
+    /// Time over which programs arrive, in seconds.
     #[arg(long)]
     horizon: Option<f64>,
-    /// A shorter run that fails past the bounds in `benches/bounds.json`.
+    /// Do a shorter run that fails if a metric is out of the bounds in `benches/bounds.json`.
     #[arg(long)]
     check: bool,
-    /// Print JSON.
+    /// Print JSON instead of tables.
     #[arg(long)]
     json: bool,
-    /// Threads; the figures do not depend on it.
+    /// Number of threads; does not affect the results.
     #[arg(long, default_value_t = 4)]
     jobs: usize,
-    /// Given by cargo.
+    /// Passed by cargo; ignored.
     #[arg(long, hide = true)]
     bench: bool,
 }
@@ -67,7 +68,7 @@
             .horizon
             .unwrap_or(if options.check { 300.0 } else { 600.0 }),
         jobs: options.jobs,
-        tables: !options.check,
+        print_tables: !options.check,
     };
     let cases = if options.ablate {
         run::ablation()
@@ -78,28 +79,28 @@
             !options.no_faults,
         )
     };
-    let results = run::all(&plan, &cases);
-    let mut lines = goal::lines(&results);
+    let results = run::run_all(&plan, &cases);
+    let mut values = metrics::collect(&results);
     if !options.ablate && options.load.is_none() && options.scenario.is_none() {
-        lines.extend(change::lines(&plan));
+        values.extend(change::metrics(&plan));
     }
     if options.json {
         let rows: Vec<_> = results
             .iter()
             .map(|(case, rows)| serde_json::json!({ "case": case.to_string(), "rows": rows }))
             .collect();
-        println!("{}", serde_json::json!({ "runs": rows, "lines": lines }));
+        println!("{}", serde_json::json!({ "runs": rows, "lines": values }));
     } else {
-        print(&plan, &results, &lines);
+        print(&plan, &results, &values);
     }
     if options.check {
-        check(&lines)
+        check(&values)
     } else {
         ExitCode::SUCCESS
     }
 }
 
-fn print(plan: &Plan, results: &run::Results, lines: &Lines) {
+fn print(plan: &Plan, results: &run::Results, values: &Metrics) {
     println!(
         "medians over seeds {}..{}, programs arrive over {} s",
         plan.first_seed,
@@ -107,27 +108,31 @@
         plan.horizon
     );
     let mut title = String::new();
-    let tables = if plan.tables { results.as_slice() } else { &[] };
+    let tables = if plan.print_tables {
+        results.as_slice()
+    } else {
+        &[]
+    };
     for (case, rows) in tables {
         if case.title() != title {
             title = case.title();
-            report::head(&title);
+            report::print_header(&title);
         }
         report::print(&case.kind.to_string(), rows);
     }
     println!();
-    for (name, value) in lines {
+    for (name, value) in values {
         println!("{name:<60} {value:>10.4}");
     }
 }
 
-/// Compares the lines with the bounds.
-fn check(lines: &Lines) -> ExitCode {
-    let faults = goal::past_bounds(lines);
-    for fault in &faults {
-        eprintln!("past its bound: {fault}");
+/// Fails if a metric is out of its bounds.
+fn check(values: &Metrics) -> ExitCode {
+    let violations = metrics::out_of_bounds(values);
+    for violation in &violations {
+        eprintln!("out of bounds: {violation}");
     }
-    if faults.is_empty() {
+    if violations.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/benches/policy/report.rs
+++ b/benches/policy/report.rs
@@ -1,34 +1,36 @@
-//! Figures of runs: per class and in all, medians over seeds, tables and JSON.
+//! Figures per class and in total, medians over the seeds, and table output.
 
 use crate::arrival::Plan;
-use crate::assume::Scenario;
-use crate::world::Outcome;
+use crate::parameters::Scenario;
+use crate::simulation::Outcome;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Figures of one class, or of all, in one run or as medians over runs.
+/// Figures of a class or of a group of classes, of one run or as medians over runs.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Figures {
     pub programs: f64,
-    /// Share of all programs that ended within their target.
+    /// Share of all programs that finished within their target.
     pub in_target: f64,
-    /// The same of those admitted.
+    /// Share of the admitted programs that finished within their target.
     pub admitted_in_target: f64,
+    /// Share of the programs that were refused admission.
     pub refused: f64,
+    /// Percentiles of the duration of admitted programs, in seconds.
     pub p50: f64,
     pub p95: f64,
     pub p99: f64,
-    /// Prefill tokens computed again that had been cached.
+    /// Prefill tokens computed again because the cache was lost.
     pub wasted: f64,
-    /// Token-seconds held for programs that had ended.
+    /// Token-seconds of cache held for programs that have ended.
     pub held_ended: f64,
-    /// Jain's index of the callers' shares in target.
+    /// Jain's fairness index of the callers' shares of programs within target.
     pub jain: f64,
-    /// The longest wait of a call for an engine, in seconds.
+    /// Longest time that a call waited for an engine, in seconds.
     pub starved: f64,
 }
 
-/// Figures by class; `all` and `waiting` are sums.
+/// Figures by class; `all` covers every class, `waiting` those with a waiting caller.
 pub type Rows = BTreeMap<String, Figures>;
 
 fn quantile(sorted: &[f64], share: f64) -> f64 {
@@ -55,7 +57,7 @@
     }
 }
 
-/// The figures of one run. Looping programs and sub-agents are not counted as programs.
+/// Figures of one run, without looping programs and sub-agents.
 pub fn rows(scenario: &Scenario, plans: &[Plan], outcome: &Outcome) -> Rows {
     let mut groups: BTreeMap<String, Vec<usize>> = BTreeMap::new();
     for (index, plan) in plans.iter().enumerate() {
@@ -74,30 +76,36 @@
         .map(|(name, group)| (name, figures(scenario, plans, outcome, &group)))
         .collect();
     if let Some(all) = rows.get_mut("all") {
-        all.held_ended = outcome.held_ended;
-        all.wasted = outcome.fates.iter().map(|fate| fate.wasted as f64).sum();
+        all.held_ended = outcome.held_after_end;
+        all.wasted = outcome
+            .programs
+            .iter()
+            .map(|state| state.wasted as f64)
+            .sum();
     }
     rows
 }
 
 fn figures(scenario: &Scenario, plans: &[Plan], outcome: &Outcome, group: &[usize]) -> Figures {
     let mut latencies = Vec::new();
-    let (mut met, mut refused, mut wasted, mut starved) = (0.0, 0.0, 0.0, 0.0_f64);
+    let (mut in_time, mut refused, mut wasted, mut starved) = (0.0, 0.0, 0.0, 0.0_f64);
     let mut callers: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
     for index in group {
-        let (plan, fate) = (&plans[*index], &outcome.fates[*index]);
+        let (plan, state) = (&plans[*index], &outcome.programs[*index]);
         let caller = callers.entry(plan.caller).or_default();
         caller.1 += 1.0;
-        wasted += fate.wasted as f64;
-        starved = starved.max(fate.waited);
-        if fate.refused {
+        wasted += state.wasted as f64;
+        starved = starved.max(state.longest_wait);
+        if state.refused {
             refused += 1.0;
             continue;
         }
-        let latency = fate.ended.map_or(f64::MAX, |ended| ended - fate.started);
+        let latency = state
+            .ended_at
+            .map_or(f64::MAX, |ended_at| ended_at - state.started_at);
         latencies.push(latency);
         if latency <= scenario.classes[plan.class].target {
-            met += 1.0;
+            in_time += 1.0;
             caller.0 += 1.0;
         }
     }
@@ -105,20 +113,19 @@
     let programs = group.len() as f64;
     Figures {
         programs,
-        in_target: met / programs,
-        admitted_in_target: met / (latencies.len() as f64).max(1.0),
+        in_target: in_time / programs,
+        admitted_in_target: in_time / (latencies.len() as f64).max(1.0),
         refused: refused / programs,
         p50: quantile(&latencies, 0.50),
         p95: quantile(&latencies, 0.95),
         p99: quantile(&latencies, 0.99),
         wasted,
         held_ended: 0.0,
-        jain: jain(callers.values().map(|(met, all)| met / all)),
+        jain: jain(callers.values().map(|(in_time, all)| in_time / all)),
         starved,
     }
 }
 
-/// The middle of some figures.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     let middle = values.len() / 2;
@@ -129,11 +136,11 @@
     }
 }
 
-/// Medians over the seeds, figure by figure.
+/// Median of each figure over the runs.
 pub fn medians(runs: &[Rows]) -> Rows {
     let names = runs.first().into_iter().flat_map(BTreeMap::keys);
-    let middle = |name: &String| {
-        let of = |figure: fn(&Figures) -> f64| {
+    let medians_of = |name: &String| {
+        let median_of = |figure: fn(&Figures) -> f64| {
             median(
                 runs.iter()
                     .filter_map(|run| run.get(name))
@@ -142,23 +149,22 @@
             )
         };
         Figures {
-            programs: of(|row| row.programs),
-            in_target: of(|row| row.in_target),
-            admitted_in_target: of(|row| row.admitted_in_target),
-            refused: of(|row| row.refused),
-            p50: of(|row| row.p50),
-            p95: of(|row| row.p95),
-            p99: of(|row| row.p99),
-            wasted: of(|row| row.wasted),
-            held_ended: of(|row| row.held_ended),
-            jain: of(|row| row.jain),
-            starved: of(|row| row.starved),
+            programs: median_of(|row| row.programs),
+            in_target: median_of(|row| row.in_target),
+            admitted_in_target: median_of(|row| row.admitted_in_target),
+            refused: median_of(|row| row.refused),
+            p50: median_of(|row| row.p50),
+            p95: median_of(|row| row.p95),
+            p99: median_of(|row| row.p99),
+            wasted: median_of(|row| row.wasted),
+            held_ended: median_of(|row| row.held_ended),
+            jain: median_of(|row| row.jain),
+            starved: median_of(|row| row.starved),
         }
     };
-    names.map(|name| (name.clone(), middle(name))).collect()
+    names.map(|name| (name.clone(), medians_of(name))).collect()
 }
 
-/// Prints the rows of one scheduler.
 pub fn print(scheduler: &str, rows: &Rows) {
     for (class, row) in rows {
         println!(
@@ -179,8 +185,7 @@
     }
 }
 
-/// Prints the head of a table.
-pub fn head(title: &str) {
+pub fn print_header(title: &str) {
     println!("\n{title}");
     println!(
         "{:<12} {:<12} {:>6} {:>7} {:>7} {:>7} {:>8} {:>8} {:>8} {:>10} {:>9} {:>6} {:>7}",
--- a/benches/policy/run.rs
+++ b/benches/policy/run.rs
@@ -1,31 +1,31 @@
-//! Which runs are made, and their figures.
+//! Selects the cases and runs them in parallel.
 
+use crate::adapter::{Adapter, Feature};
 use crate::arrival::{self, Plan as Program};
-use crate::assume::{SCENARIOS, Scenario};
 use crate::fault::Fault;
-use crate::ours::{Ours, Part};
+use crate::parameters::{SCENARIOS, Scenario};
 use crate::report::{self, Rows};
 use crate::scheduler::{Affinity, RoundRobin, Scheduler, Shortest};
-use crate::world::{Fate, Outcome, Retarget, World};
+use crate::simulation::{Outcome, ProgramState, Retarget, Simulation};
 use std::fmt;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The loads that are measured.
+/// Loads, relative to the capacity of the engines.
 const LOADS: [f64; 4] = [0.5, 0.8, 1.0, 1.3];
-/// The load at which faults are measured.
+/// Load of the runs with faults.
 const FAULT_LOAD: f64 = 0.8;
 
-/// A scheduler.
+/// Scheduler under test.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     RoundRobin,
     Affinity,
     Shortest,
-    Ours,
-    /// Ours with one part switched off.
-    Without(Part),
-    /// Each program alone on an idle pool.
+    Policy,
+    /// The policy with one feature disabled.
+    Ablated(Feature),
+    /// Lower bound: each program runs alone on an idle pool.
     Alone,
 }
 
@@ -34,7 +34,7 @@
         Self::RoundRobin,
         Self::Affinity,
         Self::Shortest,
-        Self::Ours,
+        Self::Policy,
         Self::Alone,
     ];
     pub const BASELINES: [Self; 3] = [Self::RoundRobin, Self::Affinity, Self::Shortest];
@@ -43,21 +43,21 @@
 impl fmt::Display for Kind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(match self {
-            Self::Without(Part::Gate) => "no gate",
-            Self::Without(Part::Estimates) => "no estimate",
-            Self::Without(Part::Fill) => "no fill",
-            Self::Without(Part::Exports) => "no export",
-            Self::Without(Part::Evictions) => "no evict",
+            Self::Ablated(Feature::Admission) => "no gate",
+            Self::Ablated(Feature::Estimates) => "no estimate",
+            Self::Ablated(Feature::SpareCapacity) => "no fill",
+            Self::Ablated(Feature::Exports) => "no export",
+            Self::Ablated(Feature::Evictions) => "no evict",
             Self::RoundRobin => "round-robin",
             Self::Affinity => "affinity",
             Self::Shortest => "shortest",
-            Self::Ours => "ours",
+            Self::Policy => "ours",
             Self::Alone => "alone",
         })
     }
 }
 
-/// One setting that is run with every seed.
+/// Setting that is run with every seed.
 #[derive(Debug, Clone, Copy)]
 pub struct Case {
     pub scenario: &'static Scenario,
@@ -81,33 +81,38 @@
     }
 }
 
-/// How often and how long each case is run.
+/// Number and length of the runs of each case.
 #[derive(Debug, Clone, Copy)]
 pub struct Plan {
     pub first_seed: u64,
     pub seeds: u64,
+    /// Time over which programs arrive, in seconds.
     pub horizon: f64,
     pub jobs: usize,
-    /// Whether the tables are printed beside the lines.
-    pub tables: bool,
+    /// Whether to print the tables in addition to the metrics.
+    pub print_tables: bool,
 }
 
-/// Medians over the seeds by case.
+/// Medians over the seeds, for each case.
 pub type Results = Vec<(Case, Rows)>;
 
-/// Whether this load is asked for.
-fn is(only: Option<f64>, load: f64) -> bool {
-    only.is_none_or(|only| (only - load).abs() < 1e-9)
+/// Whether the command line selects this load.
+fn matches_load(selected: Option<f64>, load: f64) -> bool {
+    selected.is_none_or(|selected| (selected - load).abs() < 1e-9)
 }
 
-/// The cases to run.
+/// Cases of all schedulers, and of the policy with each fault.
 pub fn cases(load: Option<f64>, name: Option<&str>, faults: bool) -> Vec<Case> {
     let mut cases = Vec::new();
     for scenario in &SCENARIOS {
         if name.is_some_and(|name| name != scenario.name) {
             continue;
         }
-        for load in LOADS.iter().copied().filter(|one| is(load, *one)) {
+        for load in LOADS
+            .iter()
+            .copied()
+            .filter(|candidate| matches_load(load, *candidate))
+        {
             cases.extend(Kind::ALL.map(|kind| Case {
                 scenario,
                 load,
@@ -115,21 +120,21 @@
                 kind,
             }));
         }
-        if faults && is(load, FAULT_LOAD) {
+        if faults && matches_load(load, FAULT_LOAD) {
             cases.extend(Fault::ALL.map(|fault| Case {
                 scenario,
                 load: FAULT_LOAD,
                 fault: Some(fault),
-                kind: Kind::Ours,
+                kind: Kind::Policy,
             }));
         }
     }
     cases
 }
 
-/// Ours as it is and with each part switched off in turn.
+/// Cases of the complete policy and of the policy with each feature disabled in turn.
 pub fn ablation() -> Vec<Case> {
-    let kinds = Part::ALL.map(Kind::Without);
+    let kinds = Feature::ALL.map(Kind::Ablated);
     let mut cases = Vec::new();
     for scenario in &SCENARIOS {
         for load in LOADS.iter().copied().filter(|load| *load > 0.6) {
@@ -139,30 +144,30 @@
                 fault: None,
                 kind,
             };
-            cases.push(case(Kind::Ours));
+            cases.push(case(Kind::Policy));
             cases.extend(kinds.map(case));
         }
     }
     cases
 }
 
-/// Runs every case with every seed.
-pub fn all(plan: &Plan, cases: &[Case]) -> Results {
+/// Runs every case with every seed and takes the medians.
+pub fn run_all(plan: &Plan, cases: &[Case]) -> Results {
     let seeds: Vec<u64> = (plan.first_seed..plan.first_seed + plan.seeds).collect();
-    let next = AtomicUsize::new(0);
-    let total = cases.len() * seeds.len();
-    let rows = Mutex::new(vec![Rows::new(); total]);
+    let next_index = AtomicUsize::new(0);
+    let run_count = cases.len() * seeds.len();
+    let rows = Mutex::new(vec![Rows::new(); run_count]);
     std::thread::scope(|scope| {
         for _ in 0..plan.jobs {
             scope.spawn(|| {
                 loop {
-                    let index = next.fetch_add(1, Ordering::Relaxed);
-                    if index >= total {
+                    let index = next_index.fetch_add(1, Ordering::Relaxed);
+                    if index >= run_count {
                         return;
                     }
                     let case = &cases[index / seeds.len()];
-                    let one = one(case, plan.horizon, seeds[index % seeds.len()]);
-                    rows.lock().expect("no thread panics")[index] = one;
+                    let rows_of_case = run_case(case, plan.horizon, seeds[index % seeds.len()]);
+                    rows.lock().expect("no thread panics")[index] = rows_of_case;
                 }
             });
         }
@@ -172,13 +177,13 @@
     cases.iter().copied().zip(medians).collect()
 }
 
-fn one(case: &Case, horizon: f64, seed: u64) -> Rows {
+fn run_case(case: &Case, horizon: f64, seed: u64) -> Rows {
     let plans = arrival::plans(case.scenario, case.load, horizon, seed, case.fault);
     let outcome = outcome(case, &plans, horizon, None);
     report::rows(case.scenario, &plans, &outcome)
 }
 
-/// Runs one case on these programs.
+/// Runs one case with the given programs.
 pub fn outcome(
     case: &Case,
     plans: &[Program],
@@ -190,16 +195,16 @@
         Kind::RoundRobin => simulate(case, RoundRobin::new(engines), plans, horizon, retarget),
         Kind::Affinity => simulate(case, Affinity::new(engines), plans, horizon, retarget),
         Kind::Shortest => simulate(case, Shortest::new(engines), plans, horizon, retarget),
-        Kind::Ours => simulate(
+        Kind::Policy => simulate(
             case,
-            Ours::new(case.scenario, None),
+            Adapter::new(case.scenario, None),
             plans,
             horizon,
             retarget,
         ),
-        Kind::Without(part) => {
-            let ours = Ours::new(case.scenario, Some(part));
-            simulate(case, ours, plans, horizon, retarget)
+        Kind::Ablated(feature) => {
+            let adapter = Adapter::new(case.scenario, Some(feature));
+            simulate(case, adapter, plans, horizon, retarget)
         }
         Kind::Alone => alone(plans),
     }
@@ -212,19 +217,19 @@
     horizon: f64,
     retarget: Option<Retarget>,
 ) -> Outcome {
-    World::new(scheduler, case.scenario, plans, horizon)
+    Simulation::new(scheduler, case.scenario, plans, horizon)
         .with_fault(case.fault)
         .with_retarget(retarget)
         .run()
 }
 
 fn alone(plans: &[Program]) -> Outcome {
-    let fate = |index| Fate {
-        ended: Some(arrival::alone(plans, index)),
-        ..Fate::default()
+    let state = |index| ProgramState {
+        ended_at: Some(arrival::time_alone(plans, index)),
+        ..ProgramState::default()
     };
     Outcome {
-        fates: (0..plans.len()).map(fate).collect(),
+        programs: (0..plans.len()).map(state).collect(),
         ..Outcome::default()
     }
 }
--- a/benches/policy/scheduler.rs
+++ b/benches/policy/scheduler.rs
@@ -1,9 +1,9 @@
-//! What a scheduler is told and what it orders, and the three schedulers to beat.
+//! Interface between the simulation and a scheduler, and three baseline schedulers.
 
-use crate::assume::BATCH;
+use crate::parameters::MAX_BATCH_CALLS;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A model call that asks for an engine.
+/// Model call that needs an engine.
 #[derive(Debug, Clone)]
 pub struct Request {
     pub id: u64,
@@ -12,11 +12,11 @@
     pub turn: usize,
     pub prompt: u64,
     pub max_tokens: u64,
-    /// Engines that have failed this call.
+    /// Engines on which this call has failed.
     pub avoid: Vec<usize>,
 }
 
-/// A program that a caller wants to open, or a sub-agent.
+/// Program or sub-agent that asks for admission.
 #[derive(Debug, Clone)]
 pub struct Opening {
     pub program: usize,
@@ -24,56 +24,56 @@
     pub class: usize,
 }
 
-/// How a call ended.
+/// Result of a call; times are in seconds.
 #[derive(Debug, Clone)]
-pub struct Report {
+pub struct CallResult {
     pub id: u64,
     pub program: usize,
     pub engine: usize,
     pub failed: bool,
-    pub first: f64,
-    pub rest: f64,
+    pub first_token: f64,
+    pub generation: f64,
     pub prompt: u64,
     pub cached: u64,
     pub generated: u64,
 }
 
-/// What a scheduler orders.
+/// Command of a scheduler to the engines.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Order {
+pub enum Command {
     Send { call: u64, engine: usize },
     Evict { engine: usize, program: usize },
     Export { engine: usize, program: usize },
 }
 
-/// A scheduler, here one of those measured.
+/// Scheduler under test.
 pub trait Scheduler {
-    /// Whether the program may start.
-    fn open(&mut self, _opening: &Opening) -> bool {
+    /// Decides whether the program may start.
+    fn admit(&mut self, _opening: &Opening) -> bool {
         true
     }
-    fn ask(&mut self, request: &Request) -> Vec<Order>;
-    fn done(&mut self, report: &Report) -> Vec<Order>;
-    /// The program has gone into a tool call.
-    fn pause(&mut self, _program: usize) -> Vec<Order> {
+    fn request(&mut self, request: &Request) -> Vec<Command>;
+    fn finish(&mut self, result: &CallResult) -> Vec<Command>;
+    /// The program has started a tool call or waits for sub-agents.
+    fn program_paused(&mut self, _program: usize) -> Vec<Command> {
         Vec::new()
     }
-    /// The program has ended; `whole` when by itself and not by its limit of turns.
-    fn end(&mut self, _program: usize, _whole: bool) -> Vec<Order> {
+    /// The program has ended; `completed` is false if it reached its turn limit.
+    fn program_ended(&mut self, _program: usize, _completed: bool) -> Vec<Command> {
         Vec::new()
     }
-    /// An engine reports, late, that it has dropped the cache of a program.
-    fn dropped(&mut self, _engine: usize, _program: usize) {}
-    /// The VM that holds the queue is lost: another one starts with nothing.
-    fn lose(&mut self) {}
-    fn tick(&mut self) -> Vec<Order> {
+    /// An engine reports that it has evicted the cache of a program. Events arrive with a delay.
+    fn cache_evicted(&mut self, _engine: usize, _program: usize) {}
+    /// The VM with the queue has failed; its successor starts without the queue and learned state.
+    fn fail_over(&mut self) {}
+    fn tick(&mut self) -> Vec<Command> {
         Vec::new()
     }
-    /// Operators change the target of a class.
+    /// The target of a class has changed.
     fn retarget(&mut self, _class: usize, _target: f64) {}
 }
 
-/// Arrival order, each call to the next engine.
+/// Baseline: first come, first served; each call goes to the next engine.
 #[derive(Debug)]
 pub struct RoundRobin {
     engines: usize,
@@ -87,58 +87,58 @@
 }
 
 impl Scheduler for RoundRobin {
-    fn ask(&mut self, request: &Request) -> Vec<Order> {
+    fn request(&mut self, request: &Request) -> Vec<Command> {
         self.next = (self.next + 1) % self.engines;
-        vec![Order::Send {
+        vec![Command::Send {
             call: request.id,
             engine: self.next,
         }]
     }
 
-    fn done(&mut self, _: &Report) -> Vec<Order> {
+    fn finish(&mut self, _: &CallResult) -> Vec<Command> {
         Vec::new()
     }
 }
 
-/// Arrival order, each call to the engine that has the cache, else to the least loaded.
+/// Baseline: first come, first served; prefers the engine with the cache, then the least loaded one.
 #[derive(Debug)]
 pub struct Affinity {
     running: Vec<usize>,
-    home: HashMap<usize, usize>,
+    last_engine: HashMap<usize, usize>,
 }
 
 impl Affinity {
     pub fn new(engines: usize) -> Self {
         Self {
             running: vec![0; engines],
-            home: HashMap::new(),
+            last_engine: HashMap::new(),
         }
     }
 }
 
 impl Scheduler for Affinity {
-    fn ask(&mut self, request: &Request) -> Vec<Order> {
-        let home = self.home.get(&request.program).copied();
-        let open = (0..self.running.len()).filter(|engine| !request.avoid.contains(engine));
-        let engine = home
+    fn request(&mut self, request: &Request) -> Vec<Command> {
+        let last_engine = self.last_engine.get(&request.program).copied();
+        let candidates = (0..self.running.len()).filter(|engine| !request.avoid.contains(engine));
+        let engine = last_engine
             .filter(|engine| !request.avoid.contains(engine))
-            .or_else(|| open.min_by_key(|engine| self.running[*engine]))
+            .or_else(|| candidates.min_by_key(|engine| self.running[*engine]))
             .unwrap_or(0);
-        self.home.insert(request.program, engine);
+        self.last_engine.insert(request.program, engine);
         self.running[engine] += 1;
-        vec![Order::Send {
+        vec![Command::Send {
             call: request.id,
             engine,
         }]
     }
 
-    fn done(&mut self, report: &Report) -> Vec<Order> {
-        self.running[report.engine] -= 1;
+    fn finish(&mut self, result: &CallResult) -> Vec<Command> {
+        self.running[result.engine] -= 1;
         Vec::new()
     }
 }
 
-/// The call with the fewest tokens first, to the least loaded engine that has room.
+/// Baseline: shortest call first, on the least loaded engine with a free slot.
 #[derive(Debug)]
 pub struct Shortest {
     running: Vec<usize>,
@@ -155,37 +155,38 @@
         }
     }
 
-    fn grant(&mut self) -> Vec<Order> {
-        let mut orders = Vec::new();
+    fn grant(&mut self) -> Vec<Command> {
+        let mut commands = Vec::new();
         while let Some(&(size, call)) = self.queue.first() {
             let avoid = self.avoid.get(&call);
-            let open = (0..self.running.len()).filter(|engine| self.running[*engine] < BATCH);
-            let best = open.min_by_key(|engine| {
+            let candidates =
+                (0..self.running.len()).filter(|engine| self.running[*engine] < MAX_BATCH_CALLS);
+            let least_loaded = candidates.min_by_key(|engine| {
                 let avoided = avoid.is_some_and(|avoid| avoid.contains(engine));
                 (avoided, self.running[*engine])
             });
-            let Some(engine) = best else {
-                return orders;
+            let Some(engine) = least_loaded else {
+                return commands;
             };
             self.queue.remove(&(size, call));
             self.avoid.remove(&call);
             self.running[engine] += 1;
-            orders.push(Order::Send { call, engine });
+            commands.push(Command::Send { call, engine });
         }
-        orders
+        commands
     }
 }
 
 impl Scheduler for Shortest {
-    fn ask(&mut self, request: &Request) -> Vec<Order> {
+    fn request(&mut self, request: &Request) -> Vec<Command> {
         self.queue
             .insert((request.prompt + request.max_tokens, request.id));
         self.avoid.insert(request.id, request.avoid.clone());
         self.grant()
     }
 
-    fn done(&mut self, report: &Report) -> Vec<Order> {
-        self.running[report.engine] -= 1;
+    fn finish(&mut self, result: &CallResult) -> Vec<Command> {
+        self.running[result.engine] -= 1;
         self.grant()
     }
 }
