--- a/examples/config.rs
+++ b/examples/config.rs
@@ -1,4 +1,4 @@
-//! Two operators change one key at once; every reader of the stream names the same winner.
+//! Two operators change the same key concurrently; all readers of the stream agree on the winner.
 //!
 //!     cargo run --example config
 
@@ -23,17 +23,17 @@
     ];
     let mut readers = [Book::default(), Book::default()];
     for (offset, entry) in stream.iter().enumerate() {
-        let [one, two] = &mut readers;
-        let verdict = one.take(Offset(offset as u64), entry);
-        assert_eq!(two.take(Offset(offset as u64), entry), verdict);
+        let [first, second] = &mut readers;
+        let verdict = first.take(Offset(offset as u64), entry);
+        assert_eq!(second.take(Offset(offset as u64), entry), verdict);
         match verdict.ruling {
             Ruling::Refused(failure) => println!("{offset} by {}: {failure}", verdict.by),
             ruling => println!("{offset} by {}: {ruling:?}", verdict.by),
         }
     }
-    let name = "quick".parse().expect("a name");
+    let name = "quick".parse().expect("a valid name");
     let snapshot = readers[0].snapshot();
-    let class = snapshot.class(&name).expect("it was set");
-    println!("in force: {} ms", class.target_ms);
+    let class = snapshot.class(&name).expect("the class is configured");
+    println!("target in effect: {} ms", class.target_ms);
     assert_eq!(class.target_ms, 4000);
 }
--- a/examples/effect.rs
+++ b/examples/effect.rs
@@ -1,4 +1,4 @@
-//! A call that must not be repeated is sent at most once, whatever happens around it.
+//! A call that must not be repeated is sent at most once, also after failures.
 //!
 //!     cargo run --example effect
 
@@ -6,10 +6,10 @@
 use tokio::time::Instant;
 use vanillatrail::effect::{Action, Effect, Event};
 
-fn tell(what: &str, events: &[Event]) -> Vec<Action> {
+fn run_events(scenario: &str, events: &[Event]) -> Vec<Action> {
     let mut effect = Effect::default();
     let actions: Vec<Action> = events.iter().map(|event| effect.take(*event)).collect();
-    println!("{what}: {actions:?}");
+    println!("{scenario}: {actions:?}");
     actions
 }
 
@@ -26,18 +26,15 @@
         now: now + Duration::from_mins(1),
     };
 
-    let sent = tell("it is answered", &[read_back, Event::Replied]);
-    assert_eq!(sent, [Action::Send, Action::Record]);
-    let lost = tell(
-        "its reply is lost",
-        &[read_back, Event::Broken { sent: true }],
-    );
+    let replied = run_events("reply received", &[read_back, Event::Replied]);
+    assert_eq!(replied, [Action::Send, Action::Record]);
+    let lost = run_events("reply lost", &[read_back, Event::Broken { sent: true }]);
     assert_eq!(lost, [Action::Send, Action::RecordUnknown]);
-    let twice = tell("its intent is read twice", &[read_back, read_back]);
+    let twice = run_events("intent read twice", &[read_back, read_back]);
     assert_eq!(twice, [Action::Send, Action::Wait]);
-    // The process stood still after the read: another VM may own the program by now.
-    let paused = tell("its process was paused", &[stale]);
+    // The process was suspended after the read, so another VM may own the program.
+    let paused = run_events("process paused", &[stale]);
     assert_eq!(paused, [Action::Drop]);
-    let withdrawn = tell("its deadline passes first", &[Event::Withdrawn, read_back]);
+    let withdrawn = run_events("deadline passed first", &[Event::Withdrawn, read_back]);
     assert_eq!(withdrawn, [Action::Drop, Action::Wait]);
 }
--- a/examples/journal.rs
+++ b/examples/journal.rs
@@ -1,4 +1,4 @@
-//! Writes a batch of records as one append and reads it back.
+//! Encodes a batch of records for one append, and decodes it.
 //!
 //!     cargo run --example journal
 
@@ -9,7 +9,7 @@
     let shard = shard_of("order-7", 16);
     let record = |sequence, epoch, body| Record {
         id: Id {
-            vm: "vm-a".parse().expect("a name"),
+            vm: "vm-a".parse().expect("a valid name"),
             boot: Boot(1),
             sequence: Sequence(sequence),
         },
@@ -23,17 +23,17 @@
         record(2, epoch, Body::Release { successor: None }),
     ];
 
-    let entry = encode(&batch);
+    let encoded = encode(&batch);
     println!(
-        "{} records of shard {shard} take {} bytes",
+        "{} records of shard {shard} are encoded in {} bytes",
         batch.len(),
-        entry.len()
+        encoded.len()
     );
-    let read = decode(&entry).expect("what was written can be read");
-    assert_eq!(read, batch);
+    let decoded = decode(&encoded).expect("an encoded batch can be decoded");
+    assert_eq!(decoded, batch);
 
-    let mut other_version = entry.to_vec();
+    let mut other_version = encoded.to_vec();
     other_version[0] = 99;
-    let refused = decode(&other_version).expect_err("the version is not known");
-    println!("another version: {refused}");
+    let error = decode(&other_version).expect_err("the format version is unknown");
+    println!("unknown version: {error}");
 }
--- a/examples/member.rs
+++ b/examples/member.rs
@@ -1,4 +1,4 @@
-//! Five VMs find each other from one seed; one falls silent and leaves the view of the others.
+//! Five VMs discover each other through one seed member; one becomes unreachable and is removed.
 //!
 //!     cargo run --example member
 
@@ -9,24 +9,23 @@
 use vanillatrail::id::{Boot, Incarnation, Millicores, Offset};
 use vanillatrail::member::{Action, Beat, Gossip, Message};
 
-/// Time between two ticks.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The VMs and the datagrams between them, in place of a network.
-struct Group {
+/// VMs that exchange datagrams in memory.
+struct Cluster {
     now: Instant,
     members: Vec<(SocketAddr, Gossip)>,
-    silent: Option<usize>,
+    unreachable: Option<usize>,
 }
 
-impl Group {
+impl Cluster {
     fn new(count: u16) -> Self {
         let now = Instant::now();
         let address = |index: u16| SocketAddr::from(([127, 0, 0, 1], 7000 + index));
         let members = (0..count).map(|index| {
             let beat = Beat {
-                vm: format!("vm-{index}").parse().expect("a name"),
-                zone: format!("zone-{}", index % 3).parse().expect("a name"),
+                vm: format!("vm-{index}").parse().expect("a valid name"),
+                zone: format!("zone-{}", index % 3).parse().expect("a valid name"),
                 boot: Boot(1),
                 address: address(index),
                 cores: Millicores(1000),
@@ -41,29 +40,29 @@
         Self {
             now,
             members: members.collect(),
-            silent: None,
+            unreachable: None,
         }
     }
 
     fn tick(&mut self) {
-        self.now += TICK;
+        self.now += TICK_INTERVAL;
         let mut sent = VecDeque::new();
         for index in 0..self.members.len() {
             let actions = self.members[index].1.tick(self.now);
-            self.post(index, actions, &mut sent);
+            self.queue_messages(index, actions, &mut sent);
         }
         while let Some((from, to, message)) = sent.pop_front() {
-            let Some(index) = self.members.iter().position(|(at, _)| *at == to) else {
+            let Some(index) = self.members.iter().position(|(address, _)| *address == to) else {
                 continue;
             };
-            if self.silent != Some(index) {
+            if self.unreachable != Some(index) {
                 let actions = self.members[index].1.on_message(self.now, from, message);
-                self.post(index, actions, &mut sent);
+                self.queue_messages(index, actions, &mut sent);
             }
         }
     }
 
-    fn post(
+    fn queue_messages(
         &self,
         index: usize,
         actions: Vec<Action>,
@@ -71,15 +70,15 @@
     ) {
         for action in actions {
             if let Action::Send { to, message } = action
-                && self.silent != Some(index)
+                && self.unreachable != Some(index)
             {
                 sent.push_back((self.members[index].0, to, message));
             }
         }
     }
 
-    /// Ticks until VM 0 sees so many members, and tells how long it took.
-    fn until(&mut self, count: usize) -> Duration {
+    /// Ticks until VM 0 sees `count` members; returns the elapsed time.
+    fn run_until(&mut self, count: usize) -> Duration {
         let started = self.now;
         for _ in 0..2400 {
             self.tick();
@@ -87,18 +86,24 @@
                 return self.now - started;
             }
         }
-        panic!("the view never has {count} members");
+        panic!("the view did not reach {count} members");
     }
 }
 
 fn main() {
-    let mut group = Group::new(5);
-    println!("all five know each other after {:?}", group.until(5));
-    group.silent = Some(3);
+    let mut cluster = Cluster::new(5);
     println!(
-        "the silent one is out of the view after {:?}",
-        group.until(4)
+        "all five VMs see each other after {:?}",
+        cluster.run_until(5)
+    );
+    cluster.unreachable = Some(3);
+    println!(
+        "the unreachable VM is removed after {:?}",
+        cluster.run_until(4)
+    );
+    cluster.unreachable = None;
+    println!(
+        "it is back {:?} after it is reachable again",
+        cluster.run_until(5)
     );
-    group.silent = None;
-    println!("it is back {:?} after it speaks again", group.until(5));
 }
--- a/examples/order.rs
+++ b/examples/order.rs
@@ -1,4 +1,5 @@
-//! Two holders order one engine that takes any order; the engine ends at the newest goal.
+//! Orders of a former and the current owner reach an engine that accepts both; it converges to the
+//! newest goal.
 //!
 //! ```text
 //! cargo run --example order
@@ -25,11 +26,11 @@
     let mut engine = goal("v1");
     for step in 0..20 {
         if step == 10 {
-            println!("a late order of a former holder arrives");
+            println!("a late order of a former owner arrives");
             engine = goal("v1");
         }
-        for (server, due) in control.due(now) {
-            match due {
+        for (server, next_step) in control.due(now) {
+            match next_step {
                 Step::Read => control.read(now, &server, engine.clone()),
                 Step::Order(goal) => {
                     println!("{server}: order {goal:?}");
--- a/examples/ownership.rs
+++ b/examples/ownership.rs
@@ -1,4 +1,4 @@
-//! Two VMs claim one shard; the order of the stream decides whose records count.
+//! Two VMs claim the same shard; the order of the stream decides whose records are valid.
 //!
 //!     cargo run --example ownership
 
@@ -11,7 +11,7 @@
 fn record(vm: &str, sequence: u64, epoch: Epoch, body: Body) -> Record {
     Record {
         id: Id {
-            vm: vm.parse().expect("a name"),
+            vm: vm.parse().expect("a valid name"),
             boot: Boot(1),
             sequence: Sequence(sequence),
         },
@@ -21,28 +21,31 @@
     }
 }
 
-/// When each of two VMs would claim a shard that nobody owns.
-fn waits() {
+/// Prints when each of two VMs would claim a shard without an owner.
+fn print_claim_delays() {
     let sighting = |vm: &str| Sighting {
-        vm: vm.parse().expect("a name"),
+        vm: vm.parse().expect("a valid name"),
         eligible: true,
         held: Vec::new(),
     };
     let members = [sighting("vm-a"), sighting("vm-b")];
     let start = Instant::now();
     for vm in ["vm-a", "vm-b"] {
-        let me: Vm = vm.parse().expect("a name");
-        let mut claimer = Claimer::new(me, 1);
-        let waited = (0..100).find(|step| {
+        let own_vm: Vm = vm.parse().expect("a valid name");
+        let mut claimer = Claimer::new(own_vm, 1);
+        let claim_step = (0..100).find(|step| {
             let now = start + Duration::from_millis(100) * *step;
             !claimer.due(now, &members).is_empty()
         });
-        println!("{vm} claims after {} ms", waited.expect("it claims") * 100);
+        println!(
+            "{vm} claims after {} ms",
+            claim_step.expect("the VM claims the shard") * 100
+        );
     }
 }
 
 fn main() {
-    waits();
+    print_claim_delays();
     let mut ledger = Ledger::default();
     let claim = |vm, sequence| record(vm, sequence, Epoch::default(), Body::Claim);
     let Verdict::Claimed(first) = ledger.judge(Offset(0), 0, &claim("vm-a", 1)) else {
@@ -51,13 +54,13 @@
     let Verdict::Claimed(second) = ledger.judge(Offset(1), 0, &claim("vm-b", 1)) else {
         panic!("a claim starts an epoch");
     };
-    println!("vm-a owns from {first}, vm-b from {second}");
+    println!("epoch of vm-a: {first}, of vm-b: {second}");
 
-    // vm-a was paused and has not read the claim of vm-b: what it appends does not count.
+    // vm-a was suspended and has not read the claim of vm-b, so its record is fenced.
     let release = || Body::Release { successor: None };
-    let late = record("vm-a", 2, first, release());
-    assert_eq!(ledger.judge(Offset(2), 0, &late), Verdict::Void);
+    let stale = record("vm-a", 2, first, release());
+    assert_eq!(ledger.judge(Offset(2), 0, &stale), Verdict::Void);
     let current = record("vm-b", 2, second, release());
     assert_eq!(ledger.judge(Offset(3), 0, &current), Verdict::Valid);
-    println!("the record of vm-a is void, that of vm-b counts");
+    println!("the record of vm-a is fenced, that of vm-b is valid");
 }
--- a/examples/policy.rs
+++ b/examples/policy.rs
@@ -1,4 +1,4 @@
-//! A pool grants permits: the call with the least slack first, and to the engine with its cache.
+//! A pool grants permits in the order of slack, preferably at the engine that has the call cached.
 //!
 //!     cargo run --example policy
 
@@ -7,7 +7,7 @@
 use vanillatrail::id::{Permit, Program, Server, Shard, Tokens};
 use vanillatrail::policy::{Action, Outcome, Pool, Request};
 
-fn ask(program: u128, slack_ms: i64) -> Request {
+fn call_request(program: u128, slack_ms: i64) -> Request {
     Request {
         program: Program::new(Shard(0), program),
         class: None,
@@ -33,20 +33,20 @@
     let mut now = Instant::now();
     let mut pool = Pool::default();
     let engines: Vec<Server> = ["engine-1", "engine-2"]
-        .map(|name| name.parse().expect("a name"))
+        .map(|name| name.parse().expect("a valid name"))
         .to_vec();
     pool.set_servers(&engines);
 
-    // More calls than both windows hold, with less slack the later they come.
+    // More calls than fit into the concurrency windows; later calls have less slack.
     let mut running = Vec::new();
     for number in 0_u32..200 {
         let slack_ms = 10_000 - 40 * i64::from(number);
-        let call = ask(u128::from(number), slack_ms);
+        let call = call_request(u128::from(number), slack_ms);
         let actions = pool.request(now, Permit(u64::from(number)), call);
         running.extend(granted(&actions));
     }
     let (waiting, _) = pool.load();
-    println!("{} calls run, {waiting} wait", running.len());
+    println!("{} calls running, {waiting} queued", running.len());
     assert!(waiting > 0);
 
     let (permit, server) = running.remove(0);
@@ -60,12 +60,12 @@
     };
     let next = granted(&pool.finish(now, permit, Some(&outcome)));
     println!(
-        "{server} is done with call {permit}; next is call {}",
+        "{server} finished call {permit}; next is call {}",
         next[0].0
     );
     assert!(
         next[0].0.0 > 100,
-        "a late call with little slack goes first"
+        "a late call with little slack is granted first"
     );
 
     pool.drain_server(&engines[0]);
@@ -74,5 +74,5 @@
             assert_eq!(server, engines[1]);
         }
     }
-    println!("{} is leaving: it was given nothing more", engines[0]);
+    println!("{} is draining and gets no further calls", engines[0]);
 }
--- a/examples/program.rs
+++ b/examples/program.rs
@@ -1,4 +1,4 @@
-//! Folds the records of a program and decides on its calls: order, answers kept, budget.
+//! Applies the records of a program and decides on its calls: order, stored answers, token budget.
 //!
 //!     cargo run --example program
 
@@ -13,7 +13,7 @@
     table.apply(&Body::Opened {
         program: id,
         key: "order-7".to_owned(),
-        class: "quick".parse().expect("a name"),
+        class: "quick".parse().expect("a valid name"),
         budget: Budget {
             tokens: Tokens(100),
             calls: None,
@@ -22,7 +22,7 @@
     });
 
     let digest = Digest::of(b"which levy?");
-    let program = table.get(id).expect("it was opened");
+    let program = table.get(id).expect("the program is open");
     assert_eq!(program.admit(Call(1), digest), Admission::Run);
     assert_eq!(program.admit(Call(2), digest), Admission::Wait);
     println!("call 1 runs, call 2 waits for it");
@@ -34,7 +34,7 @@
             cached: Tokens(0),
             completion: Tokens(4),
         },
-        server: "engine-1".parse().expect("a name"),
+        server: "engine-1".parse().expect("a valid name"),
     };
     let question = Message {
         role: "user".to_owned(),
@@ -44,11 +44,11 @@
         program: id,
         call: Call(1),
         reserve: Tokens(40),
-        server: "engine-1".parse().expect("a name"),
+        server: "engine-1".parse().expect("a valid name"),
     });
     println!(
-        "while call 1 runs, {} tokens are set aside",
-        table.get(id).expect("open").used()
+        "while call 1 runs, {} tokens are reserved",
+        table.get(id).expect("the program is open").used()
     );
     table.apply(&Body::Done {
         program: id,
@@ -58,16 +58,18 @@
         answer: answer.clone(),
     });
 
-    let program = table.get(id).expect("it was opened");
+    let program = table.get(id).expect("the program is open");
     assert_eq!(program.admit(Call(1), digest), Admission::Kept(answer));
     println!(
-        "call 1 again gives the kept answer; {} tokens are spent",
+        "call 1 repeated gives the stored answer; {} tokens are spent",
         program.used()
     );
-    let other = program.admit(Call(1), Digest::of(b"another body"));
-    assert!(matches!(other, Admission::Refuse(failure) if failure.code == Code::CallConflict));
+    let conflicting = program.admit(Call(1), Digest::of(b"another body"));
+    assert!(
+        matches!(conflicting, Admission::Refuse(failure) if failure.code == Code::CallConflict)
+    );
     let refused = program
         .reserve(&[question], Tokens(500))
-        .expect_err("over the budget");
-    println!("a call that could take too much: {refused}");
+        .expect_err("the call exceeds the budget");
+    println!("a call that could exceed the budget: {refused}");
 }
