--- a/benches/control.rs
+++ b/benches/control.rs
@@ -1,9 +1,9 @@
-//! Compares the gossip membership protocol with full heartbeats: traffic, processor time, memory and
-//! detection times, for several cluster sizes.
+//! Compares the gossip membership protocol with full heartbeats: traffic, processor time, memory
+//! and detection times, for several cluster sizes.
 //!
-//! A number as argument selects one size, `--gossip` or `--heartbeats` one protocol. `--json` prints
-//! JSON. `--check` compares the figures with the bounds in `control_bounds.json`. Only processor
-//! time and memory depend on the machine, and these are not checked.
+//! A number as argument selects one size, `--gossip` or `--heartbeats` one protocol. `--json`
+//! prints JSON. `--check` compares the figures with the bounds in `control_bounds.json`. Only
+//! processor time and memory depend on the machine, and these are not checked.
 
 #[path = "control/exchange.rs"]
 #[allow(dead_code, reason = "the tests use the rest")]
--- a/benches/control/exchange.rs
+++ b/benches/control/exchange.rs
@@ -310,7 +310,8 @@
         self.now = until;
     }
 
-    /// Advances the clock until `condition` holds, and returns the elapsed time; `None` past `limit`.
+    /// Advances the clock until `condition` holds. Returns the elapsed time,
+    /// or `None` after `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
--- a/benches/control/heartbeats.rs
+++ b/benches/control/heartbeats.rs
@@ -18,7 +18,7 @@
 pub struct Heartbeats {
     key: [u8; 32],
     announcement: Beat,
-    last_heartbeats: BTreeMap<Vm, (Instant, Beat)>,
+    last_heard: BTreeMap<Vm, (Instant, Beat)>,
     seeds: Vec<SocketAddr>,
     next_send: Instant,
     /// Number of members that timed out, rightly or not.
@@ -30,7 +30,7 @@
         Self {
             key: blake3::derive_key("vanillatrail peer key", b"a key for tests only"),
             announcement,
-            last_heartbeats: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
             seeds,
             next_send: now,
             removals: 0,
@@ -51,16 +51,16 @@
             return Vec::new();
         }
         self.next_send = now + HEARTBEAT_INTERVAL;
-        let count_before = self.last_heartbeats.len();
-        self.last_heartbeats
+        let count_before = self.last_heard.len();
+        self.last_heard
             .retain(|_, (at, _)| now - *at < MEMBER_TIMEOUT);
-        self.removals += (count_before - self.last_heartbeats.len()) as u64;
-        self.last_heartbeats.insert(
+        self.removals += (count_before - self.last_heard.len()) as u64;
+        self.last_heard.insert(
             self.announcement.vm.clone(),
             (now, self.announcement.clone()),
         );
         let member_addresses = self
-            .last_heartbeats
+            .last_heard
             .values()
             .map(|(_, announcement)| announcement.address);
         let targets: BTreeSet<SocketAddr> =
@@ -76,39 +76,40 @@
         let (seal, body) = datagram.split_at(SEAL_BYTES);
         assert!(blake3::keyed_hash(&self.key, body).as_bytes()[..SEAL_BYTES] == *seal);
         let announcement: Beat = rmp_serde::from_slice(body).expect("sent by a peer");
-        self.last_heartbeats
+        self.last_heard
             .insert(announcement.vm.clone(), (now, announcement));
         Vec::new()
     }
 
     fn view(&mut self, now: Instant) -> View {
-        let last_heartbeats = self.last_heartbeats.values();
-        let members = last_heartbeats
-            .filter(|(at, _)| now - *at < MEMBER_TIMEOUT)
-            .map(|(_, announcement)| {
-                let Beat {
-                    vm,
-                    zone,
-                    boot,
-                    address,
-                    cores,
-                    ready,
-                    applied,
-                    held,
-                } = announcement.clone();
-                let member = Member {
-                    vm: vm.clone(),
-                    zone,
-                    boot,
-                    address,
-                    cores,
-                    ready,
-                    applied,
-                    held,
-                    suspect: false,
-                };
-                (vm, member)
-            });
+        let last_heard = self.last_heard.values();
+        let members =
+            last_heard
+                .filter(|(at, _)| now - *at < MEMBER_TIMEOUT)
+                .map(|(_, announcement)| {
+                    let Beat {
+                        vm,
+                        zone,
+                        boot,
+                        address,
+                        cores,
+                        ready,
+                        applied,
+                        held,
+                    } = announcement.clone();
+                    let member = Member {
+                        vm: vm.clone(),
+                        zone,
+                        boot,
+                        address,
+                        cores,
+                        ready,
+                        applied,
+                        held,
+                        suspect: false,
+                    };
+                    (vm, member)
+                });
         let members: BTreeMap<Vm, Member> = members.collect();
         let newest = members.values().map(|member| member.applied).max();
         View {
--- a/benches/control/measure.rs
+++ b/benches/control/measure.rs
@@ -15,6 +15,7 @@
 const MAX_TIME: Duration = Duration::from_mins(5);
 /// Largest cluster for which packet loss and partitions are simulated; larger ones take too long.
 const MAX_SIZE_WITH_FAULTS: usize = 200;
+
 /// Durations of the parts of a measurement.
 #[derive(Debug, Clone, Copy)]
 pub struct Scenario {
@@ -129,7 +130,7 @@
     Value::Object(row)
 }
 
-/// Traffic and time spent in the protocol while the configuration changes every [`CONFIG_CHANGE_INTERVAL`].
+/// Traffic and time spent in the protocol while the configuration changes regularly.
 fn measure_steady_state<P: Protocol>(
     network: &mut Network<P>,
     duration: Duration,
--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Cost of one scheduling decision (requesting, granting and finishing a call) while other calls are
-//! queued, and of one admission decision, for several numbers of servers and programs.
+//! Cost of a scheduling decision (request, grant and finish a call) while other calls are queued,
+//! and of an admission decision, for several numbers of servers and programs.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use std::hint::black_box;
--- a/benches/policy/adapter.rs
+++ b/benches/policy/adapter.rs
@@ -1,5 +1,5 @@
-//! Runs the library's scheduling policy as a [`Scheduler`], in place of the owners and the dispatcher
-//! that use it in production.
+//! Runs the library's scheduling policy as a [`Scheduler`], in place of the owners and the
+//! dispatcher that use it in production.
 
 use crate::parameters::Scenario;
 use crate::scheduler::{CallResult, Command, Opening, Request, Scheduler};
@@ -17,8 +17,8 @@
     Admission,
     /// Estimates of the remaining time. Without them, slack is the target minus the elapsed time.
     Estimates,
-    /// Calls with much slack only use spare capacity.
-    SpareCapacity,
+    /// Calls with much slack are granted spare capacity only.
+    Backfill,
     /// Export and import of KV cache.
     Exports,
     /// Eviction of the cache of ended programs.
@@ -29,7 +29,7 @@
     pub const ALL: [Self; 5] = [
         Self::Admission,
         Self::Estimates,
-        Self::SpareCapacity,
+        Self::Backfill,
         Self::Exports,
         Self::Evictions,
     ];
@@ -124,9 +124,7 @@
                 urgency.slack_ms += remaining_ms;
                 urgency.remaining_ms = 0;
             }
-            Some(Feature::SpareCapacity) => {
-                urgency.slack_ms = urgency.slack_ms.min(5 * remaining_ms)
-            }
+            Some(Feature::Backfill) => urgency.slack_ms = urgency.slack_ms.min(5 * remaining_ms),
             _ => {}
         }
         urgency
--- a/benches/policy/arrival.rs
+++ b/benches/policy/arrival.rs
@@ -157,7 +157,7 @@
     }
 }
 
-/// Programs that arrive within `horizon` seconds; `load` is relative to the capacity of the engines.
+/// Programs that arrive within `horizon` seconds; `load` is a share of the engines' capacity.
 pub fn plans(
     scenario: &Scenario,
     load: f64,
@@ -186,7 +186,7 @@
 }
 
 impl Generator<'_> {
-    /// Adds the programs of one class: a Poisson process thinned from `max_rate` to the current rate.
+    /// Adds the programs of a class: a Poisson process thinned from `max_rate` to the current rate.
     fn arrivals(&mut self, class: usize, max_rate: f64) {
         let peak = self.scenario.classes[class].peak.max(1.0);
         let mut at = 0.0;
--- a/benches/policy/engine.rs
+++ b/benches/policy/engine.rs
@@ -182,8 +182,8 @@
         self.cache.insert(program, entry);
     }
 
-    /// Evicts the least recently used caches until `needed` more tokens fit. An idle engine accepts a
-    /// call of any size.
+    /// Evicts the least recently used caches until `needed` more tokens fit. An idle engine accepts
+    /// a call of any size.
     fn make_room(&mut self, now: f64, kept_program: usize, needed: u64) -> bool {
         while self.cached_tokens + needed > self.max_cache_tokens {
             let least_recent = self
--- a/benches/policy/main.rs
+++ b/benches/policy/main.rs
@@ -1,5 +1,5 @@
-//! Simulates the scheduling policy and baseline schedulers on the same programs, under load and with
-//! faults.
+//! Simulates the scheduling policy and baseline schedulers on the same programs, under load and
+//! with faults.
 //!
 //! `cargo bench --bench policy -- [--seed N] [--seeds N] [--load X] [--check] [--json]`
 
--- a/benches/policy/run.rs
+++ b/benches/policy/run.rs
@@ -45,7 +45,7 @@
         f.pad(match self {
             Self::Ablated(Feature::Admission) => "no gate",
             Self::Ablated(Feature::Estimates) => "no estimate",
-            Self::Ablated(Feature::SpareCapacity) => "no fill",
+            Self::Ablated(Feature::Backfill) => "no fill",
             Self::Ablated(Feature::Exports) => "no export",
             Self::Ablated(Feature::Evictions) => "no evict",
             Self::RoundRobin => "round-robin",
--- a/benches/policy/scheduler.rs
+++ b/benches/policy/scheduler.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// Baseline: first come, first served; prefers the engine with the cache, then the least loaded one.
+/// Baseline: first come, first served, at the engine with the cache or else the least loaded one.
 #[derive(Debug)]
 pub struct Affinity {
     running: Vec<usize>,
--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -1,5 +1,5 @@
-//! Event-driven simulation of one run: programs, simulated engines and a scheduler. The tokio clock is
-//! paused and follows the simulated time.
+//! Event-driven simulation of one run: programs, engines and a scheduler. The tokio clock is paused
+//! and follows the simulated time.
 
 use crate::arrival::{Next, Plan};
 use crate::engine::{Call, Engine, Finished};
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -55,7 +55,9 @@
     held: BTreeMap<String, u64>,
     /// Number of answers started, by program.
     begun: BTreeMap<String, u64>,
+    /// Orders with an outdated fencing token.
     stale_orders: u64,
+    /// Orders that changed the model weights.
     loads: u64,
 }
 
@@ -63,7 +65,9 @@
 struct EngineState {
     counters: Counters,
     cache: BTreeMap<String, CacheEntry>,
+    /// Logical clock for the LRU order of the cache.
     use_counter: u64,
+    /// Highest fencing token of an order so far.
     max_fence: u64,
     goal: Goal,
 }
@@ -245,8 +249,8 @@
         .collect()
 }
 
-/// The full answer to `messages`. It is a hash of the prompt, so a caller can verify that the engine
-/// received exactly its history.
+/// The full answer to `messages`. It is a hash of the prompt, so a caller can verify that the
+/// engine received exactly its history.
 pub(crate) fn answer(messages: &[crate::program::Message], max_tokens: u64) -> String {
     let prompt = prompt_text(messages);
     (0..max_tokens)
@@ -305,10 +309,10 @@
     faults.delay_or_fail().await?;
     let ignores_fence = faults.get().ignore_fence;
     let refused = state.with(|engine| {
-        let stale = body.fence < engine.max_fence;
+        let outdated = body.fence < engine.max_fence;
         engine.max_fence = engine.max_fence.max(body.fence);
-        engine.counters.stale_orders += u64::from(stale);
-        let refused = stale && !ignores_fence;
+        engine.counters.stale_orders += u64::from(outdated);
+        let refused = outdated && !ignores_fence;
         if !refused {
             engine.counters.loads += u64::from(engine.goal.weights != body.goal.weights);
             engine.goal = body.goal.clone();
--- a/src/standin/faults.rs
+++ b/src/standin/faults.rs
@@ -23,7 +23,7 @@
     pub(crate) cut_after: Option<u64>,
     /// Tokens generated beyond `max_tokens` (engine).
     pub(crate) extra_tokens: u64,
-    /// Factor on prefill time and time per token, not visible in the load report (engine); 0 means 1.
+    /// Factor on prefill time and time per token, not reported as load (engine); 0 means 1.
     pub(crate) slower: u64,
     /// Share of cache events that are lost, in percent (engine).
     pub(crate) lose_events: u64,
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,4 +1,4 @@
-//! In-process stand-ins for the platform and the backend servers, with fault injection and counters.
+//! Stand-ins for the platform and the backend servers, with fault injection and counters.
 
 mod engine;
 mod faults;
--- a/src/trial/audit.rs
+++ b/src/trial/audit.rs
@@ -1,4 +1,4 @@
-//! Collects the evidence for the invariants: counters of the stand-ins, and every answer read again.
+//! Data to check the invariants: counters of the stand-ins, and every answer read again.
 
 use super::caller::{CallRecord, Outcome};
 use super::cluster::Cluster;
@@ -27,7 +27,7 @@
 }
 
 impl Audit {
-    /// Collects the evidence once the load is over.
+    /// Collects the data once the load is over.
     pub(super) async fn collect(cluster: &Cluster, outcomes: &[Outcome]) -> Result<Self, Failure> {
         let changed_answers = changed_answers(cluster, outcomes).await;
         let cached_tokens = cached_tokens(cluster).await?;
--- a/src/trial/caller.rs
+++ b/src/trial/caller.rs
@@ -138,7 +138,7 @@
         });
         let opened = self.post("/v1/programs", body).await?;
         let mut running = self.start_program(&opened, token_budget)?;
-        let steps_result = running.work(plan.kind, &plan.steps).await;
+        let steps_result = running.execute(plan.kind, &plan.steps).await;
         *duration = started.elapsed();
         let result = running.end().await;
         trace.merge(running.trace);
@@ -268,7 +268,11 @@
 }
 
 impl RunningProgram<'_> {
-    fn work<'b>(&'b mut self, kind: Kind, steps: &'b [Step]) -> BoxFuture<'b, Result<(), Failure>> {
+    fn execute<'b>(
+        &'b mut self,
+        kind: Kind,
+        steps: &'b [Step],
+    ) -> BoxFuture<'b, Result<(), Failure>> {
         async move {
             for step in steps {
                 match step {
@@ -319,15 +323,15 @@
             let (opened, _) = self.call(json!({ "spawn": spawn }), false, false).await?;
             sub_agents.push((self.caller.start_program(&opened, token_budget)?, steps));
         }
-        let ran = sub_agents
+        let runs = sub_agents
             .into_iter()
             .map(|(mut running, steps)| async move {
-                let steps_result = running.work(kind, steps).await;
+                let steps_result = running.execute(kind, steps).await;
                 let result = running.end().await;
                 (running.trace, steps_result.and(result))
             });
         let mut failure = Ok(());
-        for (trace, result) in futures::future::join_all(ran).await {
+        for (trace, result) in futures::future::join_all(runs).await {
             self.trace.merge(trace);
             failure = failure.and(result);
         }
--- a/src/trial/latency.rs
+++ b/src/trial/latency.rs
@@ -1,4 +1,4 @@
-//! Measures the latency that a VM adds to a model call, by making each call directly and through a VM.
+//! Measures the latency that a VM adds: each model call is made directly and through a VM.
 
 use super::cluster::Cluster;
 use crate::code::{Code, Failure};
@@ -25,10 +25,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub(super) struct AddedLatency {
     pub(super) pairs: usize,
+    /// Time to the first token.
     pub(super) direct_first_ms: Percentiles,
+    /// Time to the end of the answer.
     pub(super) direct_end_ms: Percentiles,
     /// Time to the first token through a VM minus the time directly, per pair.
     pub(super) added_first_ms: Percentiles,
+    /// The same for the time to the end.
     pub(super) added_end_ms: Percentiles,
 }
 
@@ -49,8 +52,8 @@
     let mut samples = Vec::with_capacity(pairs);
     for index in 0..pairs + WARM_UP_PAIRS {
         let text = format!("{seed}/{index}: what does this call take?");
-        let direct = direct(&http, cluster, index, &text).await?;
-        let through_vm = through_vm(&http, cluster, index, seed, &text).await?;
+        let direct = call_directly(&http, cluster, index, &text).await?;
+        let through_vm = call_through_vm(&http, cluster, index, seed, &text).await?;
         if index >= WARM_UP_PAIRS {
             samples.push((direct, through_vm));
         }
@@ -86,7 +89,7 @@
     }
 }
 
-async fn direct(
+async fn call_directly(
     http: &reqwest::Client,
     cluster: &Cluster,
     index: usize,
@@ -114,7 +117,7 @@
     Ok(times)
 }
 
-async fn through_vm(
+async fn call_through_vm(
     http: &reqwest::Client,
     cluster: &Cluster,
     index: usize,
--- a/src/trial/plan.rs
+++ b/src/trial/plan.rs
@@ -250,12 +250,13 @@
 }
 
 /// System prompt of the tax programs.
-const TAX_PROMPT: &str = "You help payroll clerks and tax agents with the benefit in kind of company \
-    cars. Name the rate, the rule that it comes from and the month from which it applies. Work \
-    from the rate table that the tool gives, never from memory. Round down to whole pesewas. Where \
-    private use is not stated, ask for it. Where a car is shared, split the benefit by days.";
+const TAX_PROMPT: &str = "You help payroll clerks and tax agents with the benefit in kind of \
+    company cars. Name the rate, the rule that it comes from and the month from which it \
+    applies. Work from the rate table that the tool gives, never from memory. Round down to \
+    whole pesewas. Where private use is not stated, ask for it. Where a car is shared, split the \
+    benefit by days.";
 /// System prompt of the delivery programs.
-const DELIVERY_PROMPT: &str = "You agree delivery slots for furniture and appliances. Offer two slots at \
-    most at a time. A slot holds for one address and one crew. Stairs without a lift add half an \
-    hour. Never promise a slot that the booking tool has not confirmed. Keep answers short: the \
-    customer is on the phone.";
+const DELIVERY_PROMPT: &str = "You agree delivery slots for furniture and appliances. Offer two \
+    slots at most at a time. A slot holds for one address and one crew. Stairs without a lift \
+    add half an hour. Never promise a slot that the booking tool has not confirmed. Keep answers \
+    short: the customer is on the phone.";
--- a/src/trial/report.rs
+++ b/src/trial/report.rs
@@ -23,18 +23,22 @@
 
 /// Figures of the programs of one class.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-struct Row {
+struct ClassRow {
     class: Kind,
     target_ms: u64,
     programs: u64,
     failed: u64,
+    /// Programs that finished within the target.
     in_target: u64,
     p50_ms: u64,
     p95_ms: u64,
     prompt_tokens: u64,
     cached_tokens: u64,
+    /// Tokens that engines still cache for ended programs.
     held_tokens: u64,
+    /// Calls that ran more than once although they must not.
     effects_doubled: u64,
+    /// Calls without an answer.
     answers_lost: u64,
 }
 
@@ -43,6 +47,7 @@
 struct Invariant {
     name: &'static str,
     broken: u64,
+    /// Number of cases checked.
     of: u64,
 }
 
@@ -52,9 +57,11 @@
     seed: u64,
     programs: usize,
     took_ms: u64,
-    classes: Vec<Row>,
+    classes: Vec<ClassRow>,
     failures: Vec<String>,
+    /// Number of answered calls.
     calls: u64,
+    /// Appends to the journal during the load.
     appends: u64,
     appends_per_call: f64,
     path: AddedLatency,
@@ -74,7 +81,7 @@
             took_ms: ms(results.duration),
             classes: Kind::ALL
                 .into_iter()
-                .map(|kind| row(&results, kind))
+                .map(|kind| class_row(&results, kind))
                 .collect(),
             failures: failures.collect(),
             calls,
@@ -112,7 +119,7 @@
     count(calls(results), |call| call.result.is_ok())
 }
 
-fn row(results: &Results, kind: Kind) -> Row {
+fn class_row(results: &Results, kind: Kind) -> ClassRow {
     let of_kind = || {
         results
             .outcomes
@@ -134,7 +141,7 @@
             .filter_map(|program| results.audit.cached_tokens.get(program))
             .sum()
     };
-    Row {
+    ClassRow {
         class: kind,
         target_ms: ms(kind.target()),
         programs: of_kind().count() as u64,
@@ -211,7 +218,7 @@
     ]
 }
 
-impl fmt::Display for Row {
+impl fmt::Display for ClassRow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let cached_percent = self.cached_tokens as f64 * 100.0 / self.prompt_tokens.max(1) as f64;
         write!(
@@ -293,8 +300,8 @@
         let added_latency = self.0;
         write!(
             f,
-            "latency that a VM adds to a model call, over {} pairs: first token p50 {:.1} ms, p95 {:.1} ms; \
-             end p50 {:.1} ms, p95 {:.1} ms",
+            "latency that a VM adds to a model call, over {} pairs: first token p50 {:.1} ms, \
+             p95 {:.1} ms; end p50 {:.1} ms, p95 {:.1} ms",
             added_latency.pairs,
             added_latency.added_first_ms.p50,
             added_latency.added_first_ms.p95,
