--- a/src/trial/audit.rs
+++ b/src/trial/audit.rs
@@ -12,7 +12,7 @@
 /// Limit on the time for cache evictions after the last program has ended.
 const EVICTION_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Answers that are read again concurrently.
+/// Limit on concurrent reads of the answer check.
 const MAX_CONCURRENT_READS: usize = 16;
 
 /// What the stand-ins counted, and the answers that changed.
