--- a/benches/policy/adapter.rs
+++ b/benches/policy/adapter.rs
@@ -1,7 +1,7 @@
 //! Runs the library's scheduling policy as a [`Scheduler`], in place of the owners and the
 //! dispatcher that use it in production.
 
-use crate::parameters::Scenario;
+use crate::assume::Scenario;
 use crate::scheduler::{CallResult, Command, Opening, Request, Scheduler};
 use std::collections::HashMap;
 use std::time::Duration;
--- a/benches/policy/arrival.rs
+++ b/benches/policy/arrival.rs
@@ -1,10 +1,10 @@
 //! Generates the programs of one run: arrival times, callers, turns and token counts.
 
-use crate::fault::Fault;
-use crate::parameters::{
+use crate::assume::{
     CHUNK_TOKENS, HANG_S, HANG_SHARE, LOOP_SHARE, MAX_BATCH_CALLS, STEP_PER_CALL_S,
     STEP_PER_CHUNK_S, STEP_S, Scenario,
 };
+use crate::fault::Fault;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
--- a/benches/policy/change.rs
+++ b/benches/policy/change.rs
@@ -2,8 +2,8 @@
 //! without the change.
 
 use crate::arrival;
+use crate::assume::ASSOCIATION;
 use crate::metrics::Metrics;
-use crate::parameters::ASSOCIATION;
 use crate::report::median;
 use crate::run::{self, Case, Kind, Plan};
 use crate::simulation::{Outcome, Retarget};
--- a/benches/policy/engine.rs
+++ b/benches/policy/engine.rs
@@ -1,6 +1,6 @@
 //! Simulated engine with continuous batching, a limited prefix cache and FIFO order.
 
-use crate::parameters::{CHUNK_TOKENS, MAX_BATCH_CALLS, STEP_PER_CALL_S, STEP_PER_CHUNK_S, STEP_S};
+use crate::assume::{CHUNK_TOKENS, MAX_BATCH_CALLS, STEP_PER_CALL_S, STEP_PER_CHUNK_S, STEP_S};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Call that is sent to an engine.
--- a/benches/policy/main.rs
+++ b/benches/policy/main.rs
@@ -5,11 +5,11 @@
 
 mod adapter;
 mod arrival;
+mod assume;
 mod change;
 mod engine;
 mod fault;
 mod metrics;
-mod parameters;
 mod report;
 mod run;
 mod scheduler;
--- a/benches/policy/report.rs
+++ b/benches/policy/report.rs
@@ -1,7 +1,7 @@
 //! Figures per class and in total, medians over the seeds, and table output.
 
 use crate::arrival::Plan;
-use crate::parameters::Scenario;
+use crate::assume::Scenario;
 use crate::simulation::Outcome;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/benches/policy/run.rs
+++ b/benches/policy/run.rs
@@ -2,8 +2,8 @@
 
 use crate::adapter::{Adapter, Feature};
 use crate::arrival::{self, Plan as Program};
+use crate::assume::{SCENARIOS, Scenario};
 use crate::fault::Fault;
-use crate::parameters::{SCENARIOS, Scenario};
 use crate::report::{self, Rows};
 use crate::scheduler::{Affinity, RoundRobin, Scheduler, Shortest};
 use crate::simulation::{Outcome, ProgramState, Retarget, Simulation};
--- a/benches/policy/scheduler.rs
+++ b/benches/policy/scheduler.rs
@@ -1,6 +1,6 @@
 //! Interface between the simulation and a scheduler, and three baseline schedulers.
 
-use crate::parameters::MAX_BATCH_CALLS;
+use crate::assume::MAX_BATCH_CALLS;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Model call that needs an engine.
--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -2,11 +2,11 @@
 //! and follows the simulated time.
 
 use crate::arrival::{Next, Plan};
-use crate::engine::{Call, Engine, Finished};
-use crate::fault::Fault;
-use crate::parameters::{
+use crate::assume::{
     EVENT_DELAY_S, EVENT_LOSS_SHARE, IMPORT_TOKENS_PER_SECOND, Scenario, TAKEOVER_S,
 };
+use crate::engine::{Call, Engine, Finished};
+use crate::fault::Fault;
 use crate::scheduler::{CallResult, Command, Opening, Request, Scheduler};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -27,7 +27,7 @@
     ProgramResumes(usize),
     RequestCall(u64),
     CacheImported(u64, usize),
-    CacheEvicted(usize, usize),
+    Evicted(usize, usize),
     Tick,
     FaultStarts,
     FaultEnds,
@@ -68,7 +68,7 @@
 
 struct PendingCall {
     request: Request,
-    requested_at: f64,
+    queued_at: f64,
 }
 
 pub struct Simulation<'a, S> {
@@ -190,7 +190,7 @@
             }
             Event::RequestCall(call) => self.request_engine(call),
             Event::CacheImported(call, engine) => self.import(call, engine),
-            Event::CacheEvicted(engine, program) => self.scheduler.cache_evicted(engine, program),
+            Event::Evicted(engine, program) => self.scheduler.cache_evicted(engine, program),
             Event::Tick => {
                 if self.now >= self.failover_until {
                     let commands = self.scheduler.tick();
@@ -237,14 +237,9 @@
             max_tokens: plan.turns[turn].max_tokens,
             avoid: Vec::new(),
         };
-        let requested_at = self.now;
-        self.pending.insert(
-            request.id,
-            PendingCall {
-                request,
-                requested_at,
-            },
-        );
+        let queued_at = self.now;
+        self.pending
+            .insert(request.id, PendingCall { request, queued_at });
         self.request_engine(self.next_call);
     }
 
@@ -285,7 +280,7 @@
             return;
         };
         let program = pending.request.program;
-        let wait = self.now - pending.requested_at;
+        let wait = self.now - pending.queued_at;
         let state = &mut self.programs[program];
         state.longest_wait = state.longest_wait.max(wait);
         if let Some(tokens) = self.exported.get(&program) {
@@ -336,10 +331,7 @@
         for program in evicted {
             let events_lost = self.fault == Some(Fault::EventsCut);
             if !events_lost && !self.rng.random_bool(EVENT_LOSS_SHARE) {
-                self.schedule(
-                    self.now + EVENT_DELAY_S,
-                    Event::CacheEvicted(engine, program),
-                );
+                self.schedule(self.now + EVENT_DELAY_S, Event::Evicted(engine, program));
             }
         }
     }
