--- a/src/program/state.rs
+++ b/src/program/state.rs
@@ -1,4 +1,4 @@
-//! One program: what may be called next, what it may spend, and what was answered.
+//! State of one program: next call, budget, history and stored answers.
 
 use super::types::{Answer, Budget, Message};
 use crate::code::{Code, Failure};
@@ -6,114 +6,119 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Tokens that an engine may add for the frame of one message.
-const MESSAGE_FRAME: u64 = 8;
+/// Upper bound on the tokens that an engine's chat template adds per message.
+const MESSAGE_OVERHEAD_TOKENS: u64 = 8;
 
-/// Tokens set aside for an attempt that is under way.
+/// Tokens reserved for the model call in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Reserve {
-    /// The call.
+pub struct Reservation {
+    /// The call that the tokens are reserved for.
     pub call: Call,
-    /// The most that the attempt can spend.
+    /// Upper bound on what one attempt can spend.
     pub tokens: Tokens,
 }
 
-/// A call that must not be repeated and has no outcome yet.
+/// A call that must not be repeated and whose outcome is not recorded yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Intent {
-    /// The call.
+    /// Number of the call.
     pub call: Call,
-    /// The digest of its body.
+    /// Digest of the call's request.
     pub digest: Digest,
-    /// The service and operation.
+    /// Called operation, as `service/operation`.
     pub target: String,
 }
 
-/// An answer that is kept so that asking again gives the same.
+/// A completed call; its answer is stored so that a repeated request returns the same answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kept {
-    /// The digest of the call's body.
+pub struct AnsweredCall {
+    /// Digest of the call's request.
     pub digest: Digest,
-    /// The answer.
+    /// Final answer of the call.
     pub answer: Answer,
 }
 
-/// One program.
+/// State of one program.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Program {
-    /// Its id.
+    /// Id that the system assigned when the program was opened.
     pub id: id::Program,
-    /// The program that spawned it.
+    /// Program that spawned this one; `None` if a caller opened it.
     pub parent: Option<id::Program>,
-    /// The key that opened it; none for a child.
+    /// Idempotency key with which a caller opened the program; `None` for a spawned program.
     pub key: Option<String>,
-    /// Its class.
+    /// Program class from the configuration.
     pub class: Class,
-    /// What it may spend.
+    /// Limits on tokens and calls, including those of child programs.
     pub budget: Budget,
-    /// When it was opened, in milliseconds since the Unix epoch.
+    /// Opening time in milliseconds since the Unix epoch.
     pub opened_ms: u64,
-    /// When it ended, in milliseconds since the Unix epoch.
+    /// End time in milliseconds since the Unix epoch; `None` while the program is open.
     pub ended_ms: Option<u64>,
-    /// Why it ended, when its caller did not ask for it.
+    /// Code with which the system ended the program; `None` if its caller ended it.
     pub reason: Option<Code>,
-    /// Tokens spent by calls that are over, and by children that have ended.
+    /// Tokens spent by finished calls and by ended children.
     pub spent: Tokens,
-    /// Tokens of the prompt and answer of the newest model call: the size of the history.
+    /// Size of the history in tokens, as reported with the newest model call.
     pub context: Tokens,
-    /// An attempt under way, or cut off by a failure.
-    pub reserve: Option<Reserve>,
-    /// Tokens carved out for children that are open.
-    pub carved: Tokens,
-    /// Calls carved out for children that are open, and made by those that have ended.
-    pub carved_calls: u64,
-    /// Messages in order.
+    /// Reservation of the attempt in progress, or of one that a failure interrupted.
+    #[serde(rename = "reserve")]
+    pub reservation: Option<Reservation>,
+    /// Tokens allocated to open children.
+    #[serde(rename = "carved")]
+    pub child_tokens: Tokens,
+    /// Calls allocated to open children, plus calls made by ended children.
+    #[serde(rename = "carved_calls")]
+    pub child_calls: u64,
+    /// Messages of the caller and answers of the models, oldest first.
     pub history: Vec<Message>,
-    /// Answers in order; the next call is one more than there are.
-    pub kept: Vec<Kept>,
-    /// A call sent once that has no outcome yet.
+    /// Completed calls, in the order of their numbers from 1.
+    pub kept: Vec<AnsweredCall>,
+    /// Open intent of the next call, if that must not be repeated.
     pub intent: Option<Intent>,
-    /// Engines that may hold cache for this program.
+    /// Engines that may have KV cache of this program.
     pub resident: BTreeSet<Server>,
-    /// Children, open or ended.
+    /// Spawned programs, open or ended.
     pub children: Vec<id::Program>,
-    /// How deep it is nested; 0 for a program that a caller opened.
+    /// Nesting depth; 0 for a program that a caller opened.
     pub depth: u32,
 }
 
-/// What to do with a call.
+/// How to proceed with a requested call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Admission {
-    /// It is over: give the kept answer.
+    /// The call is complete; return the stored answer.
     Kept(Answer),
-    /// It is the next one: run it.
+    /// The call is next in order; run it.
     Run,
-    /// It is after the next one: it waits for its turn.
+    /// Earlier calls are not complete yet; wait.
     Wait,
-    /// It can't run.
+    /// The call is invalid or the program has ended.
     Refuse(Failure),
 }
 
 impl Program {
-    /// The number of the next call.
+    /// Number of the next call; calls are numbered from 1.
     #[must_use]
     pub fn next(&self) -> Call {
         Call(self.kept.len() as u64 + 1)
     }
 
-    /// Tokens that are spent, set aside or carved out.
+    /// Tokens that are spent, reserved or allocated to open children.
     #[must_use]
     pub fn used(&self) -> Tokens {
-        let reserved = self.reserve.map_or(0, |reserve| reserve.tokens.0);
+        let reserved = self
+            .reservation
+            .map_or(0, |reservation| reservation.tokens.0);
         let spent = self.spent.0.saturating_add(reserved);
-        Tokens(spent.saturating_add(self.carved.0))
+        Tokens(spent.saturating_add(self.child_tokens.0))
     }
 
-    /// Bytes of the history.
+    /// Size of the history's message contents in bytes.
     #[must_use]
     pub fn history_bytes(&self) -> usize {
         self.history
@@ -122,26 +127,26 @@
             .sum()
     }
 
-    /// Whether the program has ended.
+    /// Whether the program has ended, by its caller or by the system.
     #[must_use]
     pub const fn is_ended(&self) -> bool {
         self.ended_ms.is_some()
     }
 
-    /// What to do with call `call` with a body of `digest`.
+    /// Decides how to proceed with a call, given the digest of its request.
     #[must_use]
     pub fn admit(&self, call: Call, digest: Digest) -> Admission {
         if call.0 == 0 {
-            return Admission::Refuse(Failure::refused(Code::BadBody, "calls count from 1"));
+            return Admission::Refuse(Failure::refused(Code::BadBody, "calls are numbered from 1"));
         }
-        if let Some(kept) = self
+        if let Some(answered) = self
             .kept
             .get(usize::try_from(call.0).unwrap_or(usize::MAX) - 1)
         {
-            return if kept.digest == digest {
-                Admission::Kept(kept.answer.clone())
+            return if answered.digest == digest {
+                Admission::Kept(answered.answer.clone())
             } else {
-                let message = format!("call {call} was made with another body");
+                let message = format!("call {call} was already made with a different body");
                 Admission::Refuse(Failure::refused(Code::CallConflict, message))
             };
         }
@@ -159,61 +164,65 @@
         }
     }
 
-    /// The most that a model call can spend, if the budget allows it.
+    /// Upper bound on the tokens of a model call, to be reserved before it is sent.
     ///
-    /// A byte is at least as much as a token, so the bound holds for any tokenizer that works on
-    /// bytes; what is not used is given back when the call is over.
+    /// Counts one token per byte of the new messages, which bounds any byte-level tokenizer. The
+    /// unused rest is released when the call completes.
     ///
     /// # Errors
-    /// [`Code::BudgetExceeded`] when the call could pass the budget.
+    /// [`Code::BudgetExceeded`] if the bound does not fit the budget.
     pub fn reserve(&self, messages: &[Message], max_tokens: Tokens) -> Result<Tokens, Failure> {
-        let new: u64 = messages
+        let prompt_bound: u64 = messages
             .iter()
-            .map(|message| message.content.len() as u64 + MESSAGE_FRAME)
+            .map(|message| message.content.len() as u64 + MESSAGE_OVERHEAD_TOKENS)
             .sum();
-        let reserve = Tokens(new.saturating_add(max_tokens.0));
-        self.afford(reserve, 1)?;
-        Ok(reserve)
+        let bound = Tokens(prompt_bound.saturating_add(max_tokens.0));
+        self.afford(bound, 1)?;
+        Ok(bound)
     }
 
-    /// Checks that `tokens` and `calls` more stay within the budget.
+    /// Checks that `tokens` and `calls` more fit the budget.
     ///
     /// # Errors
-    /// [`Code::BudgetExceeded`] when they don't.
+    /// [`Code::BudgetExceeded`] if either limit would be exceeded.
     pub fn afford(&self, tokens: Tokens, calls: u64) -> Result<(), Failure> {
         if self.used().0.saturating_add(tokens.0) > self.budget.tokens.0 {
             let message = format!(
-                "{} tokens used of {}, and the call could take {tokens}",
+                "{} of {} tokens are used, and the call may need {tokens}",
                 self.used(),
                 self.budget.tokens
             );
             return Err(Failure::refused(Code::BudgetExceeded, message));
         }
-        let made = (self.kept.len() as u64).saturating_add(self.carved_calls);
+        let used_calls = (self.kept.len() as u64).saturating_add(self.child_calls);
         if self
             .budget
             .calls
-            .is_some_and(|most| made.saturating_add(calls) > most)
+            .is_some_and(|limit| used_calls.saturating_add(calls) > limit)
         {
-            let message = format!("{made} calls used of the budget");
+            let message = format!("the call budget is exhausted: {used_calls} calls used");
             return Err(Failure::refused(Code::BudgetExceeded, message));
         }
         Ok(())
     }
 
-    /// Counts what an attempt has spent, at most what it had set aside, and gives it.
+    /// Releases the reservation of `call` and books the tokens spent, capped at the reservation.
+    ///
+    /// Returns the booked tokens, or 0 if there is no such reservation.
     pub(super) fn settle(&mut self, call: Call, tokens: Tokens) -> Tokens {
-        let Some(reserve) = self.reserve.take_if(|reserve| reserve.call == call) else {
+        let Some(reservation) = self
+            .reservation
+            .take_if(|reservation| reservation.call == call)
+        else {
             return Tokens(0);
         };
-        let spent = tokens.min(reserve.tokens);
+        let spent = tokens.min(reservation.tokens);
         self.spent.0 = self.spent.0.saturating_add(spent.0);
         spent
     }
 
-    /// Opens an intent, unless it comes behind the outcome of its call: then its writer must not
-    /// send.
-    pub(super) fn intend(&mut self, call: Call, digest: Digest, target: &str) {
+    /// Opens an intent; ignored if the call already has an outcome, so its writer must not send it.
+    pub(super) fn open_intent(&mut self, call: Call, digest: Digest, target: &str) {
         if call == self.next() && !self.is_ended() {
             let target = target.to_owned();
             self.intent = Some(Intent {
@@ -224,22 +233,23 @@
         }
     }
 
-    pub(super) fn finish(&mut self, digest: Digest, messages: &[Message], answer: &Answer) {
+    /// Completes the next call: extends the history, settles its tokens and stores the answer.
+    pub(super) fn complete_call(&mut self, digest: Digest, messages: &[Message], answer: &Answer) {
         let call = self.next();
         self.history.extend_from_slice(messages);
         if let Answer::Model { text, usage, .. } = answer {
-            // Grows by what was counted and no more: an engine that once reports too much would
-            // otherwise make the tokens of later calls look as if they had been counted.
-            let context = usage.prompt.0.saturating_add(usage.completion.0);
-            let counted = self.settle(call, Tokens(context.saturating_sub(self.context.0)));
-            self.context.0 += counted.0;
+            // Grows only by the booked tokens: if an engine over-reports once, `context` would
+            // otherwise be too large and tokens of later calls would not be charged.
+            let reported = usage.prompt.0.saturating_add(usage.completion.0);
+            let booked = self.settle(call, Tokens(reported.saturating_sub(self.context.0)));
+            self.context.0 += booked.0;
             self.history.push(Message {
                 role: "assistant".to_owned(),
                 content: text.clone(),
             });
         }
         self.intent = None;
-        self.kept.push(Kept {
+        self.kept.push(AnsweredCall {
             digest,
             answer: answer.clone(),
         });
--- a/src/program/table.rs
+++ b/src/program/table.rs
@@ -1,50 +1,52 @@
-//! The programs of one shard, folded from the valid records of its stream.
+//! Programs of one shard, built by applying the valid records of its stream in order.
 
-use super::state::{Program, Reserve};
+use super::state::{Program, Reservation};
 use super::types::{Answer, Budget};
 use crate::code::{Code, Failure};
 use crate::id::{self, Call, Class, Digest, Tokens};
 use crate::journal::Body;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The programs of one shard.
+/// Programs of one shard, by id and by the key that opened them.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Table {
     programs: BTreeMap<id::Program, Program>,
-    keys: BTreeMap<String, id::Program>,
-    // Records of these programs were found without what came before: trimmed by the log. A
-    // checkpoint that stands later in the stream makes such a program whole again.
-    gaps: BTreeSet<id::Program>,
+    ids_by_key: BTreeMap<String, id::Program>,
+    // Programs whose earlier records were trimmed from the log. A later checkpoint record
+    // restores them.
+    incomplete: BTreeSet<id::Program>,
 }
 
 impl Table {
-    /// The program with this id.
+    /// Looks up a program by id.
     ///
     /// # Errors
-    /// [`Code::HistoryGap`] when the log has lost records of it, [`Code::UnknownProgram`] when
-    /// there is none.
+    /// [`Code::HistoryGap`] if records of the program are missing from the log,
+    /// [`Code::UnknownProgram`] if no such program exists.
     pub fn get(&self, id: id::Program) -> Result<&Program, Failure> {
-        if self.gaps.contains(&id) {
-            let message = format!("the log has lost records of {id}");
+        if self.incomplete.contains(&id) {
+            let message = format!("records of program {id} are missing from the log");
             return Err(Failure::refused(Code::HistoryGap, message));
         }
         self.programs.get(&id).ok_or_else(|| {
-            Failure::refused(Code::UnknownProgram, format!("there is no program {id}"))
+            Failure::refused(Code::UnknownProgram, format!("no program with id {id}"))
         })
     }
 
-    /// The program that was opened with `key`.
+    /// Looks up a program by the key with which a caller opened it.
     #[must_use]
     pub fn by_key(&self, key: &str) -> Option<&Program> {
-        self.keys.get(key).and_then(|id| self.programs.get(id))
+        self.ids_by_key
+            .get(key)
+            .and_then(|id| self.programs.get(id))
     }
 
-    /// Every program, in the order of ids.
+    /// All programs, open or ended, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Program> {
         self.programs.values()
     }
 
-    /// How many programs have not ended.
+    /// Number of programs that have not ended.
     #[must_use]
     pub fn open(&self) -> usize {
         self.programs
@@ -53,30 +55,30 @@
             .count()
     }
 
-    /// The program and all that it has spawned, at any depth.
+    /// The program and all its descendants, breadth first.
     #[must_use]
     pub fn tree(&self, id: id::Program) -> Vec<id::Program> {
         let mut tree = vec![id];
-        let mut at = 0;
-        while let Some(next) = tree.get(at) {
+        let mut index = 0;
+        while let Some(next) = tree.get(index) {
             let children = self.programs.get(next).map(|program| &program.children);
             tree.extend(children.into_iter().flatten());
-            at += 1;
+            index += 1;
         }
         tree
     }
 
-    /// The program and those that it descends from.
+    /// The program and its ancestors, ending with the root.
     #[must_use]
     pub fn line(&self, id: id::Program) -> Vec<id::Program> {
         let parent = |id: &id::Program| self.programs.get(id)?.parent;
         std::iter::successors(Some(id), parent).collect()
     }
 
-    /// Takes in one valid record.
+    /// Applies the next valid record of the stream.
     ///
-    /// Every reader of the stream folds the same records in the same order, so a VM that takes
-    /// the shard over holds what the former owner held.
+    /// Deterministic: a VM that takes the shard over and replays the stream gets the same state
+    /// as the previous owner.
     pub fn apply(&mut self, body: &Body) {
         match body {
             Body::Claim | Body::Release { .. } | Body::Checkpointed => {}
@@ -87,8 +89,8 @@
                 budget,
                 at_ms,
             } => {
-                self.keys.insert(key.clone(), *program);
-                let mut state = blank(*program, class.clone(), *budget, *at_ms);
+                self.ids_by_key.insert(key.clone(), *program);
+                let mut state = new_program(*program, class.clone(), *budget, *at_ms);
                 state.key = Some(key.clone());
                 self.programs.insert(*program, state);
             }
@@ -97,12 +99,12 @@
                 call,
                 reserve,
                 server,
-            } => self.change(*program, |state| {
-                // An attempt that a failure cut off may have spent all it had set aside.
-                if let Some(lost) = state.reserve.take() {
-                    state.spent.0 = state.spent.0.saturating_add(lost.tokens.0);
+            } => self.update(*program, |state| {
+                // An interrupted attempt may have spent its whole reservation.
+                if let Some(interrupted) = state.reservation.take() {
+                    state.spent.0 = state.spent.0.saturating_add(interrupted.tokens.0);
                 }
-                state.reserve = Some(Reserve {
+                state.reservation = Some(Reservation {
                     call: *call,
                     tokens: *reserve,
                 });
@@ -113,7 +115,7 @@
                 call,
                 tokens,
             } => {
-                self.change(*program, |state| {
+                self.update(*program, |state| {
                     state.settle(*call, *tokens);
                 });
             }
@@ -122,8 +124,8 @@
                 call,
                 digest,
                 target,
-            } => self.change(*program, |state| state.intend(*call, *digest, target)),
-            Body::Dropped { program, call } => self.change(*program, |state| {
+            } => self.update(*program, |state| state.open_intent(*call, *digest, target)),
+            Body::Dropped { program, call } => self.update(*program, |state| {
                 state.intent.take_if(|intent| intent.call == *call);
             }),
             Body::Done {
@@ -133,9 +135,9 @@
                 messages,
                 answer,
             } => {
-                self.change(*program, |state| {
+                self.update(*program, |state| {
                     if *call == state.next() && !state.is_ended() {
-                        state.finish(*digest, messages, answer);
+                        state.complete_call(*digest, messages, answer);
                     }
                 });
             }
@@ -155,37 +157,38 @@
                 reason,
                 at_ms,
             } => self.end(*program, *reason, *at_ms),
-            Body::Evicted { program, server } => self.change(*program, |state| {
+            Body::Evicted { program, server } => self.update(*program, |state| {
                 state.resident.remove(server);
             }),
             Body::Forgotten { program } => {
                 if let Some(state) = self.programs.remove(program)
                     && let Some(key) = state.key
                 {
-                    self.keys.remove(&key);
+                    self.ids_by_key.remove(&key);
                 }
             }
             Body::Checkpoint { program } => self.restore(program),
         }
     }
 
-    /// Takes in a program whose older records are gone; one that is known is as the record says.
+    /// Restores a program from its checkpoint, unless its state is already complete.
     fn restore(&mut self, program: &Program) {
-        if self.programs.contains_key(&program.id) && !self.gaps.contains(&program.id) {
+        if self.programs.contains_key(&program.id) && !self.incomplete.contains(&program.id) {
             return;
         }
-        self.gaps.remove(&program.id);
+        self.incomplete.remove(&program.id);
         if let Some(key) = &program.key {
-            self.keys.insert(key.clone(), program.id);
+            self.ids_by_key.insert(key.clone(), program.id);
         }
         self.programs.insert(program.id, program.clone());
     }
 
-    fn change(&mut self, id: id::Program, change: impl FnOnce(&mut Program)) {
+    /// Updates a program, or marks it incomplete if its opening record is missing.
+    fn update(&mut self, id: id::Program, update: impl FnOnce(&mut Program)) {
         match self.programs.get_mut(&id) {
-            Some(program) => change(program),
+            Some(program) => update(program),
             None => {
-                self.gaps.insert(id);
+                self.incomplete.insert(id);
             }
         }
     }
@@ -201,27 +204,28 @@
         budget: Budget,
         at_ms: u64,
     ) {
-        let Some(state) = self.programs.get_mut(&parent) else {
-            self.gaps.insert(parent);
+        let Some(parent_state) = self.programs.get_mut(&parent) else {
+            self.incomplete.insert(parent);
             return;
         };
-        if call != state.next() || state.is_ended() {
+        if call != parent_state.next() || parent_state.is_ended() {
             return;
         }
-        state.finish(digest, &[], &Answer::Spawned { child });
-        state.carved.0 = state.carved.0.saturating_add(budget.tokens.0);
+        parent_state.complete_call(digest, &[], &Answer::Spawned { child });
+        parent_state.child_tokens.0 = parent_state.child_tokens.0.saturating_add(budget.tokens.0);
         let calls = budget.calls.unwrap_or(0);
-        state.carved_calls = state.carved_calls.saturating_add(calls);
-        state.children.push(child);
-        let mut opened = blank(child, class.clone(), budget, at_ms);
-        opened.parent = Some(parent);
-        opened.depth = state.depth + 1;
-        self.programs.insert(child, opened);
+        parent_state.child_calls = parent_state.child_calls.saturating_add(calls);
+        parent_state.children.push(child);
+        let mut child_state = new_program(child, class.clone(), budget, at_ms);
+        child_state.parent = Some(parent);
+        child_state.depth = parent_state.depth + 1;
+        self.programs.insert(child, child_state);
     }
 
+    /// Ends a program and its descendants, and returns unused allocations to the parent.
     fn end(&mut self, id: id::Program, reason: Option<Code>, at_ms: u64) {
         let Some(program) = self.programs.get_mut(&id) else {
-            self.gaps.insert(id);
+            self.incomplete.insert(id);
             return;
         };
         if program.is_ended() {
@@ -234,19 +238,19 @@
         }
         let program = &self.programs[&id];
         let (parent, used) = (program.parent, program.used());
-        let carved = program.budget;
-        let calls = program.kept.len() as u64 + program.carved_calls;
+        let allocated = program.budget;
+        let calls = program.kept.len() as u64 + program.child_calls;
         if let Some(parent) = parent.and_then(|parent| self.programs.get_mut(&parent)) {
-            parent.carved.0 = parent.carved.0.saturating_sub(carved.tokens.0);
+            parent.child_tokens.0 = parent.child_tokens.0.saturating_sub(allocated.tokens.0);
             parent.spent.0 = parent.spent.0.saturating_add(used.0);
-            if let Some(most) = carved.calls {
-                parent.carved_calls = parent.carved_calls.saturating_sub(most) + calls.min(most);
+            if let Some(limit) = allocated.calls {
+                parent.child_calls = parent.child_calls.saturating_sub(limit) + calls.min(limit);
             }
         }
     }
 }
 
-fn blank(id: id::Program, class: Class, budget: Budget, at_ms: u64) -> Program {
+fn new_program(id: id::Program, class: Class, budget: Budget, at_ms: u64) -> Program {
     Program {
         id,
         parent: None,
@@ -258,9 +262,9 @@
         reason: None,
         spent: Tokens(0),
         context: Tokens(0),
-        reserve: None,
-        carved: Tokens(0),
-        carved_calls: 0,
+        reservation: None,
+        child_tokens: Tokens(0),
+        child_calls: 0,
         history: Vec::new(),
         kept: Vec::new(),
         intent: None,
--- a/src/program/types.rs
+++ b/src/program/types.rs
@@ -1,4 +1,4 @@
-//! What callers send and what they get.
+//! Requests of callers and answers to them.
 
 use crate::code::{Code, Failure, Ran};
 use crate::id::{Call, Class, Digest, Operation, Program, Server, Service, Tokens};
@@ -7,50 +7,50 @@
 use serde_json::value::RawValue;
 use std::sync::Arc;
 
-/// What a program may spend. A token counts once: when it enters the history.
+/// Limits of a program. A token counts once, when it enters the history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Tokens of the caller's messages and of the model's answers.
+    /// Most tokens in the caller's messages and the models' answers.
     #[schemars(with = "u64")]
     pub tokens: Tokens,
-    /// Calls of any kind.
+    /// Most calls of any kind; no limit if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub calls: Option<u64>,
 }
 
-/// One message of a history, in the published chat-completions shape.
+/// A message in the chat-completions format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Message {
-    /// `system`, `user`, `assistant` or `tool`.
+    /// One of `system`, `user`, `assistant` and `tool`.
     pub role: String,
-    /// The text.
+    /// Message text.
     pub content: Arc<str>,
 }
 
-/// Tokens of one model call, as the engine counted them.
+/// Token usage of one model call, as reported by the engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Tokens in the prompt, including the history.
     pub prompt: Tokens,
-    /// Tokens of the prompt that the engine had cached.
+    /// Prompt tokens found in the engine's prefix cache.
     pub cached: Tokens,
-    /// Tokens generated.
+    /// Generated tokens.
     pub completion: Tokens,
 }
 
-/// A model call: only the messages that are new.
+/// Parameters of a model call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prompt {
-    /// Which model; may be left out where the configuration has only one.
+    /// Model to call; optional if the configuration has only one.
     #[serde(default)]
     pub model: Option<crate::id::Model>,
-    /// The messages that are new in this call.
+    /// New messages only; the system prepends the program's history.
     pub messages: Vec<Message>,
-    /// The most tokens to generate.
+    /// Limit on the tokens to generate.
     #[serde(default = "Prompt::default_max_tokens")]
     pub max_tokens: Tokens,
 }
@@ -61,15 +61,15 @@
     }
 }
 
-/// A call of a plain service.
+/// A call to a plain service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Invocation {
-    /// The service.
+    /// Service name from the configuration.
     pub service: Service,
-    /// The operation.
+    /// Operation of the service.
     pub operation: Operation,
-    /// The JSON body to send.
+    /// JSON body of the request to the service; `null` by default.
     #[serde(default = "Invocation::default_body")]
     pub body: Box<RawValue>,
 }
@@ -80,81 +80,81 @@
     }
 }
 
-/// A sub-agent to open as a program of its own, with a part of this program's budget.
+/// Opens a sub-agent as a child program that gets a part of this program's budget.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Spawn {
-    /// The class of the child.
+    /// Class of the child program.
     pub class: Class,
-    /// What is carved out of the parent's budget.
+    /// Part of the parent's budget that is allocated to the child.
     pub budget: Budget,
 }
 
-/// What a call asks for.
+/// Request of one call.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Request {
-    /// Ask a model.
+    /// Calls a model.
     Model(Prompt),
-    /// Ask a service.
+    /// Calls a plain service.
     Service(Invocation),
-    /// Open a child program.
+    /// Opens a child program.
     Spawn(Spawn),
 }
 
 impl Request {
-    /// The digest by which a repeated call is recognised.
+    /// Digest that identifies a repeated request.
     ///
     /// ```
     /// use vanillatrail::program::Request;
     /// let request = |text: &str| serde_json::from_str::<Request>(text).unwrap();
-    /// let one = request(r#"{"spawn": {"class": "rework", "budget": {"tokens": 10}}}"#);
-    /// let two = request(r#"{"spawn": {"class": "rework", "budget": {"tokens": 11}}}"#);
-    /// assert_ne!(one.digest(), two.digest());
+    /// let first = request(r#"{"spawn": {"class": "rework", "budget": {"tokens": 10}}}"#);
+    /// let second = request(r#"{"spawn": {"class": "rework", "budget": {"tokens": 11}}}"#);
+    /// assert_ne!(first.digest(), second.digest());
     /// ```
     ///
     /// # Panics
-    /// Never: a request can always be written as JSON.
+    /// Never: a request always serializes to JSON.
     #[must_use]
     pub fn digest(&self) -> Digest {
-        Digest::of(&serde_json::to_vec(self).expect("a request can be written as JSON"))
+        Digest::of(&serde_json::to_vec(self).expect("a request serializes to JSON"))
     }
 }
 
-/// The final answer of a call.
+/// Final answer of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Answer {
-    /// A model's text.
+    /// Completion generated by a model.
     Model {
-        /// The whole text.
+        /// Generated text.
         text: Arc<str>,
-        /// What it took.
+        /// Token usage reported by the engine.
         usage: Usage,
-        /// The engine that wrote it, and that holds its cache.
+        /// Engine that generated the text and has its KV cache.
         server: Server,
     },
-    /// A service's reply.
+    /// Response of a plain service.
     Service {
-        /// The HTTP status it gave.
+        /// HTTP status code.
         status: u16,
-        /// The body it gave.
+        /// Response body.
         body: String,
     },
     /// A child program was opened.
     Spawned {
-        /// The child.
+        /// Id of the child program.
         child: Program,
     },
-    /// The call was sent once; whether it took effect is not known and it is never sent again.
+    /// The call was sent once and may have taken effect; it is never sent again.
     Unknown {
-        /// What is known.
+        /// Reason why the outcome is unknown.
         message: String,
     },
 }
 
 impl Answer {
-    /// The body for the caller, or the failure that this answer is.
+    /// Response body for the caller, or the failure if the outcome is unknown.
     ///
     /// ```
     /// use vanillatrail::code::Ran;
@@ -165,7 +165,7 @@
     /// ```
     ///
     /// # Errors
-    /// [`Code::OutcomeUnknown`] for a call whose outcome is not known.
+    /// [`Code::OutcomeUnknown`] for [`Answer::Unknown`].
     pub fn body(&self, call: Call) -> Result<serde_json::Value, Failure> {
         match self {
             Self::Model {
