--- a/src/conversation/mod.rs
+++ b/src/conversation/mod.rs
@@ -9,14 +9,14 @@
 
 mod bucket;
 mod cache;
+mod locations;
 mod outbox;
-mod pointers;
 mod transcript;
 mod turn;
 
 pub use bucket::{Bucket, Layout};
 pub use cache::{Cache, Walk};
+pub use locations::Pointers;
 pub use outbox::Outbox;
-pub use pointers::Pointers;
 pub use transcript::Transcript;
 pub use turn::{Id, Turn, prompt};
--- a/src/order/duty.rs
+++ b/src/order/duty.rs
@@ -1,6 +1,6 @@
 //! The order thread: reads and orders the engines of the pools whose shard this VM owns.
 
-use super::control::{Control, Goal, Step};
+use super::reconciler::{Control, Goal, Step};
 use crate::backend::Engines;
 use crate::config::{Fencing, Pool, Snapshot};
 use crate::id::{Epoch, Model, Server, shard_of};
--- a/src/order/mod.rs
+++ b/src/order/mod.rs
@@ -1,8 +1,8 @@
 //! Orders to engines: which weights, adapters and role each should have.
 
-mod control;
 mod duty;
+mod reconciler;
 
-pub use control::{Control, Goal, Step};
+pub use reconciler::{Control, Goal, Step};
 
 pub(crate) use duty::{Context, run};
