--- a/examples/order.rs
+++ b/examples/order.rs
@@ -8,29 +8,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::id::Server;
-use vanillatrail::order::{Control, Goal, Step};
+use vanillatrail::order::{Reconciler, State, Step};
 
-fn goal(weights: &str) -> Goal {
-    Goal {
+fn goal(weights: &str) -> State {
+    State {
         weights: Some(weights.to_owned()),
-        ..Goal::default()
+        ..State::default()
     }
 }
 
 fn main() {
     let server: Server = "engine-1".parse().expect("a valid name");
     let mut now = Instant::now();
-    let mut control = Control::new(now, Duration::from_secs(2), Duration::from_secs(1));
-    control.aim(now, &BTreeMap::from([(server, goal("v2"))]));
+    let mut control = Reconciler::new(now, Duration::from_secs(2), Duration::from_secs(1));
+    control.set_desired(now, &BTreeMap::from([(server, goal("v2"))]));
     let mut engine = goal("v1");
     for step in 0..20 {
         if step == 10 {
             println!("a late order of a former holder arrives");
             engine = goal("v1");
         }
-        for (server, due) in control.due(now) {
+        for (server, due) in control.due_steps(now) {
             match due {
-                Step::Read => control.read(now, &server, engine.clone()),
+                Step::Read => control.record_state(now, &server, engine.clone()),
                 Step::Order(goal) => {
                     println!("{server}: order {goal:?}");
                     engine = goal;
--- a/examples/program.rs
+++ b/examples/program.rs
@@ -48,7 +48,7 @@
     });
     println!(
         "while call 1 runs, {} tokens are set aside",
-        table.get(id).expect("open").used()
+        table.get(id).expect("open").used_tokens()
     );
     table.apply(&Body::Done {
         program: id,
@@ -59,15 +59,15 @@
     });
 
     let program = table.get(id).expect("it was opened");
-    assert_eq!(program.admit(Call(1), digest), Admission::Kept(answer));
+    assert_eq!(program.admit(Call(1), digest), Admission::Answered(answer));
     println!(
         "call 1 again gives the kept answer; {} tokens are spent",
-        program.used()
+        program.used_tokens()
     );
     let other = program.admit(Call(1), Digest::of(b"another body"));
     assert!(matches!(other, Admission::Refuse(failure) if failure.code == Code::CallConflict));
     let refused = program
-        .reserve(&[question], Tokens(500))
+        .reservation_for(&[question], Tokens(500))
         .expect_err("over the budget");
     println!("a call that could take too much: {refused}");
 }
--- a/src/backend/engine.rs
+++ b/src/backend/engine.rs
@@ -1,7 +1,7 @@
 //! Model engines in the published chat-completions shape, with event-stream chunks.
 
 use crate::id::{Epoch, Model, Tokens};
-use crate::order::Goal;
+use crate::order;
 use crate::program::{Message, Usage};
 use eventsource_stream::Eventsource;
 use futures::StreamExt;
@@ -25,15 +25,15 @@
 
 /// Why an engine gave no whole answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Fault(pub(crate) String);
+pub(crate) struct EngineError(pub(crate) String);
 
-impl fmt::Display for Fault {
+impl fmt::Display for EngineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl From<reqwest::Error> for Fault {
+impl From<reqwest::Error> for EngineError {
     fn from(error: reqwest::Error) -> Self {
         Self(error.to_string())
     }
@@ -46,7 +46,7 @@
     pub(crate) messages: Vec<Message>,
     pub(crate) max_tokens: Tokens,
     /// Names the cache that the engine keeps for the program.
-    pub(crate) key: String,
+    pub(crate) cache_key: String,
 }
 
 /// One chunk of the stream, as far as it is read.
@@ -107,14 +107,14 @@
         address: SocketAddr,
         chat: &Chat,
         mut take: impl FnMut(Arc<str>),
-    ) -> Result<Usage, Fault> {
+    ) -> Result<Usage, EngineError> {
         let body = json!({
             "model": chat.model,
             "messages": chat.messages,
             "max_tokens": chat.max_tokens,
             "stream": true,
             "stream_options": { "include_usage": true },
-            "prompt_cache_key": chat.key,
+            "prompt_cache_key": chat.cache_key,
         });
         let url = format!("http://{address}/v1/chat/completions");
         let sending = self.client.post(url).json(&body).send();
@@ -127,11 +127,11 @@
                 .await
                 .map_err(|_| silent())?;
             let Some(event) = event else {
-                return Err(Fault("the stream was cut before its end".to_owned()));
+                return Err(EngineError("the stream was cut before its end".to_owned()));
             };
-            let event = event.map_err(|error| Fault(error.to_string()))?;
+            let event = event.map_err(|error| EngineError(error.to_string()))?;
             let chunk: Chunk = serde_json::from_str(&event.data)
-                .map_err(|error| Fault(format!("malformed chunk: {error}")))?;
+                .map_err(|error| EngineError(format!("malformed chunk: {error}")))?;
             if let Some(usage) = chunk.usage {
                 return Ok(Usage {
                     prompt: Tokens(usage.prompt_tokens),
@@ -156,7 +156,7 @@
     }
 
     /// What an engine says it is.
-    pub(crate) async fn state(&self, address: SocketAddr) -> Result<Goal, Fault> {
+    pub(crate) async fn state(&self, address: SocketAddr) -> Result<order::State, EngineError> {
         let request = self
             .client
             .get(format!("http://{address}/v1/state"))
@@ -169,8 +169,8 @@
         &self,
         address: SocketAddr,
         fence: Epoch,
-        goal: &Goal,
-    ) -> Result<(), Fault> {
+        goal: &order::State,
+    ) -> Result<(), EngineError> {
         let body = json!({ "fence": fence, "goal": goal });
         let url = format!("http://{address}/v1/orders");
         let request = self.client.post(url).json(&body).timeout(ORDER);
@@ -179,7 +179,7 @@
     }
 
     /// Asks an engine to drop the cache of a program.
-    pub(crate) async fn evict(&self, address: SocketAddr, key: &str) -> Result<(), Fault> {
+    pub(crate) async fn evict(&self, address: SocketAddr, key: &str) -> Result<(), EngineError> {
         let url = format!("http://{address}/v1/cache/evict");
         let request = self
             .client
@@ -191,8 +191,8 @@
     }
 }
 
-fn silent() -> Fault {
-    Fault(format!("no token for {SILENCE:?}"))
+fn silent() -> EngineError {
+    EngineError(format!("no token for {SILENCE:?}"))
 }
 
 /// The usage of a stream that was cut at its bound, when the engine has not told it.
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -3,5 +3,5 @@
 mod engine;
 mod service;
 
-pub(crate) use engine::{Chat, Engines, Fault};
-pub(crate) use service::{Broken, Reply, Services};
+pub(crate) use engine::{Chat, EngineError, Engines};
+pub(crate) use service::{Reply, ServiceError, Services};
--- a/src/backend/service.rs
+++ b/src/backend/service.rs
@@ -16,9 +16,9 @@
 
 /// A call without a reply that tells its outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Broken {
+pub(crate) struct ServiceError {
     /// Whether any of the request may have reached the service.
-    pub(crate) sent: bool,
+    pub(crate) maybe_sent: bool,
     pub(crate) reason: String,
 }
 
@@ -52,7 +52,7 @@
         invocation: &Invocation,
         key: &str,
         timeout: Duration,
-    ) -> Result<Reply, Broken> {
+    ) -> Result<Reply, ServiceError> {
         let url = format!("http://{address}/operations/{}", invocation.operation);
         let request = self
             .client
@@ -61,16 +61,16 @@
             .header("idempotency-key", key)
             .header("content-type", "application/json")
             .body(invocation.body.get().to_owned());
-        let broken = |error: &reqwest::Error| Broken {
-            sent: !error.is_connect() && !error.is_builder(),
+        let broken = |error: &reqwest::Error| ServiceError {
+            maybe_sent: !error.is_connect() && !error.is_builder(),
             reason: error.to_string(),
         };
         let reply = request.send().await.map_err(|error| broken(&error))?;
         let status = reply.status();
         // A server fault may come from in front of the service or from behind the effect.
         if status.is_server_error() {
-            return Err(Broken {
-                sent: true,
+            return Err(ServiceError {
+                maybe_sent: true,
                 reason: format!("the service gave {status}"),
             });
         }
--- a/src/conversation/bucket.rs
+++ b/src/conversation/bucket.rs
@@ -25,7 +25,7 @@
 /// let layout = Layout { topics: 4, partitions: 12 };
 /// assert_eq!(layout.count(), 48);
 /// assert_eq!((layout.topic(Bucket(13)), layout.partition(Bucket(13))), (1, 1));
-/// assert_eq!(layout.others(Bucket(13)), [4, 7, 10]);
+/// assert_eq!(layout.fallback_partitions(Bucket(13)), [4, 7, 10]);
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Layout {
@@ -68,7 +68,7 @@
 
     /// The partitions through which its turns go while its own takes none.
     #[must_use]
-    pub fn others(self, bucket: Bucket) -> Vec<u64> {
+    pub fn fallback_partitions(self, bucket: Bucket) -> Vec<u64> {
         let own = self.partition(bucket);
         let step = (self.partitions / (OTHERS + 1)).max(1);
         let others = (1..=OTHERS).map(|index| (own + index * step) % self.partitions);
--- a/src/conversation/cache.rs
+++ b/src/conversation/cache.rs
@@ -19,9 +19,9 @@
 
 /// The turns that lead to one.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Walk {
+pub enum History {
     /// All of them, the oldest first.
-    Whole(Vec<Rc<Turn>>),
+    Complete(Vec<Rc<Turn>>),
     /// This one is not here.
     Missing(Id),
     /// They are larger than the bound.
@@ -39,11 +39,11 @@
 /// use std::rc::Rc;
 /// use std::time::Duration;
 /// use tokio::time::Instant;
-/// use vanillatrail::conversation::{Cache, Turn, Walk};
+/// use vanillatrail::conversation::{Cache, Turn, History};
 /// let mut cache = Cache::new(1000, Duration::from_secs(20));
 /// let turn = Turn { id: "t".parse().unwrap(), prev: None, until_ms: 0, input: "a".into(), output: "b\n".into() };
 /// cache.insert(Instant::now(), Rc::new(turn.clone()));
-/// assert_eq!(cache.walk(Instant::now(), &turn.id, 100), Walk::Whole(vec![Rc::new(turn)]));
+/// assert_eq!(cache.history(Instant::now(), &turn.id, 100), History::Complete(vec![Rc::new(turn)]));
 /// ```
 #[derive(Debug)]
 pub struct Cache {
@@ -88,21 +88,28 @@
     }
 
     /// The turns that lead to `last`, itself included, at most `limit` bytes of them.
-    pub fn walk(&mut self, now: Instant, last: &Id, limit: usize) -> Walk {
-        let (mut turns, next) = self.back(now, last, limit);
+    pub fn history(&mut self, now: Instant, last: &Id, limit: usize) -> History {
+        let (mut turns, next) = self.newest_turns(now, last, limit);
         match next {
-            Some(_) if turns.iter().map(|turn| cost(turn)).sum::<usize>() > limit => Walk::TooLong,
-            Some(id) => Walk::Missing(id),
+            Some(_) if turns.iter().map(|turn| cost(turn)).sum::<usize>() > limit => {
+                History::TooLong
+            }
+            Some(id) => History::Missing(id),
             None => {
                 turns.reverse();
-                Walk::Whole(turns)
+                History::Complete(turns)
             }
         }
     }
 
     /// The turns that lead to `last`, the newest first, until `limit` bytes are passed or one is not
     /// here; and the next one, if there is one.
-    pub fn back(&mut self, now: Instant, last: &Id, limit: usize) -> (Vec<Rc<Turn>>, Option<Id>) {
+    pub fn newest_turns(
+        &mut self,
+        now: Instant,
+        last: &Id,
+        limit: usize,
+    ) -> (Vec<Rc<Turn>>, Option<Id>) {
         let mut turns = Vec::new();
         let mut next = Some(last.clone());
         let mut bytes = 0;
--- a/src/conversation/locations.rs
+++ b/src/conversation/locations.rs
@@ -12,14 +12,14 @@
 /// ```
 /// use std::time::Duration;
 /// use tokio::time::Instant;
-/// use vanillatrail::conversation::Pointers;
-/// let mut pointers = Pointers::new(Duration::from_secs(20));
+/// use vanillatrail::conversation::Locations;
+/// let mut locations = Locations::new(Duration::from_secs(20));
 /// let (id, vm) = ("t".parse().unwrap(), "10.0.0.1:80".parse().unwrap());
-/// pointers.set(Instant::now(), id, vm);
-/// assert_eq!(pointers.get(&"t".parse().unwrap()), Some(vm));
+/// locations.set(Instant::now(), id, vm);
+/// assert_eq!(locations.get(&"t".parse().unwrap()), Some(vm));
 /// ```
 #[derive(Debug)]
-pub struct Pointers {
+pub struct Locations {
     holders: HashMap<Id, (SocketAddr, Instant)>,
     kept: Duration,
 }
@@ -27,7 +27,7 @@
 /// Hints at the most: 100 bytes each, 5 MB in all.
 const MOST: usize = 50_000;
 
-impl Pointers {
+impl Locations {
     /// Hints that are kept for as long as a VM keeps a turn in memory.
     #[must_use]
     pub fn new(kept: Duration) -> Self {
--- a/src/conversation/mod.rs
+++ b/src/conversation/mod.rs
@@ -15,8 +15,8 @@
 mod turn;
 
 pub use bucket::{Bucket, Layout};
-pub use cache::{Cache, Walk};
-pub use locations::Pointers;
+pub use cache::{Cache, History};
+pub use locations::Locations;
 pub use outbox::Outbox;
 pub use transcript::Transcript;
-pub use turn::{Id, Turn, prompt};
+pub use turn::{Id, Turn, build_prompt};
--- a/src/conversation/outbox.rs
+++ b/src/conversation/outbox.rs
@@ -14,8 +14,8 @@
 /// let mut outbox = Outbox::default();
 /// outbox.push(Rc::new(turn.clone()));
 /// let batch = outbox.batch(1000);
-/// outbox.recorded(&batch);
-/// assert!(!outbox.lacks(&turn.id));
+/// outbox.mark_recorded(&batch);
+/// assert!(!outbox.contains(&turn.id));
 /// ```
 #[derive(Debug, Default)]
 pub struct Outbox {
@@ -43,7 +43,7 @@
     }
 
     /// A write of these turns was acknowledged.
-    pub fn recorded(&mut self, batch: &[Rc<Turn>]) {
+    pub fn mark_recorded(&mut self, batch: &[Rc<Turn>]) {
         for turn in batch {
             let same = self.turns.get(&turn.id);
             if same.is_some_and(|known| known.until_ms <= turn.until_ms) {
@@ -53,7 +53,7 @@
     }
 
     /// Drops a turn whose answer did not end as whole: nobody goes on from it.
-    pub fn forget(&mut self, id: &Id) {
+    pub fn remove(&mut self, id: &Id) {
         self.turns.remove(id);
     }
 
@@ -64,7 +64,7 @@
 
     /// Whether the store may lack a turn.
     #[must_use]
-    pub fn lacks(&self, id: &Id) -> bool {
+    pub fn contains(&self, id: &Id) -> bool {
         self.turns.contains_key(id)
     }
 
--- a/src/conversation/turn.rs
+++ b/src/conversation/turn.rs
@@ -130,12 +130,12 @@
 ///
 /// ```
 /// # use std::rc::Rc;
-/// # use vanillatrail::conversation::{Turn, prompt};
+/// # use vanillatrail::conversation::{Turn, build_prompt};
 /// let first = Turn { id: "t".parse().unwrap(), prev: None, until_ms: 0, input: "ab".into(), output: "c\n".into() };
-/// assert_eq!(prompt(&[Rc::new(first)], &"d".into()), "abc\nd");
+/// assert_eq!(build_prompt(&[Rc::new(first)], &"d".into()), "abc\nd");
 /// ```
 #[must_use]
-pub fn prompt(turns: &[Rc<Turn>], input: &Bytes) -> Bytes {
+pub fn build_prompt(turns: &[Rc<Turn>], input: &Bytes) -> Bytes {
     let size = turns.iter().map(|turn| turn.size()).sum::<usize>();
     let mut whole = BytesMut::with_capacity(size + input.len());
     for turn in turns {
--- a/src/dispatch/client.rs
+++ b/src/dispatch/client.rs
@@ -1,6 +1,6 @@
 //! How an owner gets a permit from the VM that holds the queue of a pool.
 
-use super::duty::{Command, unreachable};
+use super::duty::{Command, unavailable};
 use super::{Grant, Key};
 use crate::code::Failure;
 use crate::id::Vm;
@@ -19,13 +19,13 @@
 /// Asks the VM that holds the queue, wherever it is.
 #[derive(Debug, Clone)]
 pub(crate) struct Client {
-    pub(crate) me: Vm,
-    pub(crate) local: flume::Sender<Command>,
+    pub(crate) vm: Vm,
+    pub(crate) dispatcher: flume::Sender<Command>,
     pub(crate) view: watch::Receiver<Arc<View>>,
-    pub(crate) links: peer::Links,
+    pub(crate) connections: peer::Links,
 }
 
-/// A permit in use. Dropped without [`Lease::done`], it is given back.
+/// A permit in use. Dropped without [`Lease::finish`], it is given back.
 #[derive(Debug)]
 pub(crate) struct Lease {
     pub(crate) grant: Grant,
@@ -51,10 +51,10 @@
                 .first(&format!("dispatch/{key}"))
                 .cloned();
             match first {
-                Some(member) if member.vm != self.me => {
-                    match self.links.permit(member.address, key, ask).await {
+                Some(member) if member.vm != self.vm => {
+                    match self.connections.permit(member.address, key, ask).await {
                         Ok((grant, stream)) => {
-                            let links = self.links.clone();
+                            let links = self.connections.clone();
                             let hold = Some(Hold::Remote(links, member.address, stream));
                             return Ok(Lease {
                                 grant: grant?,
@@ -74,26 +74,28 @@
         let (reply, wait) = oneshot::channel();
         let command = Command::Acquire {
             key: key.clone(),
-            ask: Box::new(ask.clone()),
+            request: Box::new(ask.clone()),
             reply,
         };
-        self.local.try_send(command).map_err(|_| unreachable())?;
-        let grant = wait.await.map_err(|_| unreachable())??;
+        self.dispatcher
+            .try_send(command)
+            .map_err(|_| unavailable())?;
+        let grant = wait.await.map_err(|_| unavailable())??;
         Ok(Lease {
             grant,
             key: key.clone(),
-            hold: Some(Hold::Local(self.local.clone())),
+            hold: Some(Hold::Local(self.dispatcher.clone())),
         })
     }
 }
 
 impl Lease {
     /// Gives the permit back and tells how the call went.
-    pub(crate) async fn done(mut self, outcome: Outcome) {
+    pub(crate) async fn finish(mut self, outcome: Outcome) {
         let (key, permit) = (self.key.clone(), self.grant.permit);
         match self.hold.take() {
             Some(Hold::Local(local)) => {
-                let command = Command::Done {
+                let command = Command::Finish {
                     key,
                     permit,
                     outcome: Some(outcome),
@@ -113,7 +115,7 @@
     fn drop(&mut self) {
         if let Some(Hold::Local(local)) = self.hold.take() {
             let (key, permit) = (self.key.clone(), self.grant.permit);
-            let _ = local.try_send(Command::Done {
+            let _ = local.try_send(Command::Finish {
                 key,
                 permit,
                 outcome: None,
--- a/src/dispatch/duty.rs
+++ b/src/dispatch/duty.rs
@@ -26,11 +26,11 @@
     /// A call waits for a server.
     Acquire {
         key: Key,
-        ask: Box<Request>,
+        request: Box<Request>,
         reply: oneshot::Sender<Result<Grant, Failure>>,
     },
     /// A call is over, or its permit is given back unused.
-    Done {
+    Finish {
         key: Key,
         permit: Permit,
         outcome: Option<Outcome>,
@@ -118,7 +118,7 @@
     pub(crate) config: watch::Receiver<Arc<Snapshot>>,
     pub(crate) view: watch::Receiver<Arc<View>>,
     /// Takes the servers that say they are leaving, so that every VM learns of them.
-    pub(crate) leaving: flume::Sender<Server>,
+    pub(crate) draining: flume::Sender<Server>,
     pub(crate) stop: CancellationToken,
 }
 
@@ -127,7 +127,7 @@
     let mut desk = Desk::default();
     spawn_local(report::follow(
         desk.reported.clone(),
-        context.leaving.clone(),
+        context.draining.clone(),
     ));
     let Context {
         commands,
@@ -194,7 +194,11 @@
     fn take(&mut self, command: Command) {
         let now = Instant::now();
         match command {
-            Command::Acquire { key, ask, reply } => {
+            Command::Acquire {
+                key,
+                request,
+                reply,
+            } => {
                 if !self.queues.contains_key(&key) {
                     self.queues.insert(key.clone(), Queue::default());
                     self.configure();
@@ -203,10 +207,10 @@
                 let permit = Permit(self.last);
                 let queue = self.queues.entry(key).or_default();
                 queue.replies.insert(permit, reply);
-                let actions = queue.pool.request(now, permit, *ask);
+                let actions = queue.pool.request(now, permit, *request);
                 queue.carry_out(now, actions);
             }
-            Command::Done {
+            Command::Finish {
                 key,
                 permit,
                 outcome,
@@ -239,7 +243,7 @@
 }
 
 /// The failure when the dispatch thread does not answer.
-pub(crate) fn unreachable() -> Failure {
+pub(crate) fn unavailable() -> Failure {
     Failure::refused(Code::RingFull, "the dispatcher does not answer")
         .retry_after(Duration::from_millis(500))
 }
--- a/src/effect/state.rs
+++ b/src/effect/state.rs
@@ -13,22 +13,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// The intent was read back.
-    ReadBack {
+    IntentRead {
         /// It is valid, and the program has it as the open intent of its next call.
-        counts: bool,
+        valid: bool,
         /// When the read that showed it was sent.
-        asked: Instant,
+        requested_at: Instant,
         /// The time of the decision.
         now: Instant,
     },
     /// The deadline passed, the program is to end, or another VM took the shard over.
-    Withdrawn,
+    Cancelled,
     /// The service replied.
     Replied,
     /// There is no reply that tells the outcome.
-    Broken {
+    Failed {
         /// Whether any of the request may have reached the service.
-        sent: bool,
+        maybe_sent: bool,
     },
 }
 
@@ -40,9 +40,9 @@
     /// Send the call; this action is given once at most.
     Send,
     /// Record that the intent was dropped, and refuse the call as not run.
-    Drop,
+    DropIntent,
     /// Leave the call to the owner whose records count, and send nothing.
-    Leave,
+    Abandon,
     /// Record the reply as the answer.
     Record,
     /// Record the outcome as unknown.
@@ -63,8 +63,8 @@
 /// use vanillatrail::effect::{Action, Effect, Event};
 /// let now = tokio::time::Instant::now();
 /// let mut effect = Effect::default();
-/// assert_eq!(effect.take(Event::ReadBack { counts: true, asked: now, now }), Action::Send);
-/// assert_eq!(effect.take(Event::Broken { sent: true }), Action::RecordUnknown);
+/// assert_eq!(effect.handle(Event::IntentRead { valid: true, requested_at: now, now }), Action::Send);
+/// assert_eq!(effect.handle(Event::Failed { maybe_sent: true }), Action::RecordUnknown);
 /// ```
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Effect {
@@ -78,34 +78,42 @@
     /// use vanillatrail::effect::{Action, Effect, Event};
     /// let now = tokio::time::Instant::now();
     /// let mut effect = Effect::default();
-    /// assert_eq!(effect.take(Event::Withdrawn), Action::Drop);
-    /// let late = Event::ReadBack { counts: true, asked: now, now };
-    /// assert_eq!(effect.take(late), Action::Wait);
+    /// assert_eq!(effect.handle(Event::Cancelled), Action::DropIntent);
+    /// let late = Event::IntentRead { valid: true, requested_at: now, now };
+    /// assert_eq!(effect.handle(late), Action::Wait);
     /// ```
-    pub fn take(&mut self, event: Event) -> Action {
+    pub fn handle(&mut self, event: Event) -> Action {
         let (stage, action) = match (self.stage, event) {
-            (Stage::Recording, Event::ReadBack { counts, asked, now }) => {
-                Self::read_back(counts, now.saturating_duration_since(asked))
-            }
+            (
+                Stage::Recording,
+                Event::IntentRead {
+                    valid,
+                    requested_at,
+                    now,
+                },
+            ) => Self::read_back(valid, now.saturating_duration_since(requested_at)),
             // The intent may still reach the log. Only this process could send it, and with the
             // stage over it never does, so "not run" stays true.
-            (Stage::Recording, Event::Withdrawn) | (Stage::Sent, Event::Broken { sent: false }) => {
-                (Stage::Over, Action::Drop)
+            (Stage::Recording, Event::Cancelled)
+            | (Stage::Sent, Event::Failed { maybe_sent: false }) => {
+                (Stage::Over, Action::DropIntent)
             }
             (Stage::Sent, Event::Replied) => (Stage::Over, Action::Record),
-            (Stage::Sent, Event::Broken { sent: true }) => (Stage::Over, Action::RecordUnknown),
+            (Stage::Sent, Event::Failed { maybe_sent: true }) => {
+                (Stage::Over, Action::RecordUnknown)
+            }
             (stage, _) => (stage, Action::Wait),
         };
         self.stage = stage;
         action
     }
 
-    fn read_back(counts: bool, age: Duration) -> (Stage, Action) {
-        if !counts {
-            return (Stage::Over, Action::Leave);
+    fn read_back(valid: bool, age: Duration) -> (Stage, Action) {
+        if !valid {
+            return (Stage::Over, Action::Abandon);
         }
         if age > SEND_WINDOW {
-            return (Stage::Over, Action::Drop);
+            return (Stage::Over, Action::DropIntent);
         }
         (Stage::Sent, Action::Send)
     }
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -32,14 +32,14 @@
 
 /// What the handlers work with.
 #[derive(Debug, Clone)]
-pub(crate) struct Entry {
+pub(crate) struct Context {
     pub(crate) router: Router,
     pub(crate) config: watch::Receiver<Arc<Snapshot>>,
     pub(crate) metrics: Metrics,
-    pub(crate) max_body: usize,
+    pub(crate) max_body_bytes: usize,
 }
 
-pub(crate) fn routes(entry: Entry) -> impl IntoEndpoint<Endpoint: 'static> {
+pub(crate) fn routes(context: Context) -> impl IntoEndpoint<Endpoint: 'static> {
     Route::new()
         .at("/v1/programs", post(open))
         .at("/v1/programs/:program", poem::get(look))
@@ -47,7 +47,7 @@
         .at("/v1/programs/:program/calls/:call", poem::get(read))
         .at("/v1/programs/:program/end", post(end))
         .at("/v1/services/:service/:operation", post(plain))
-        .data(entry)
+        .data(context)
 }
 
 #[derive(Debug, Deserialize)]
@@ -84,9 +84,9 @@
 }
 
 #[handler]
-async fn open(entry: Data<&Entry>, body: Body) -> Response {
+async fn open(context: Data<&Context>, body: Body) -> Response {
     let opened = async {
-        let open: Open = parse(&entry, body).await?;
+        let open: Open = parse(&context, body).await?;
         if open.key.is_empty() || open.key.len() > 256 {
             return Err(Failure::refused(
                 Code::BadBody,
@@ -94,19 +94,19 @@
             ));
         }
         check_budget("budget", open.budget)?;
-        ready(&entry)?;
+        ready(&context)?;
         Ok(Request::Open {
             key: open.key,
             class: open.class,
             budget: open.budget,
         })
     };
-    answer(&entry, opened.await, None).await
+    answer(&context, opened.await, None).await
 }
 
 #[handler]
 async fn make_call(
-    entry: Data<&Entry>,
+    context: Data<&Context>,
     Path(program): Path<String>,
     request: &poem::Request,
     body: Body,
@@ -114,7 +114,7 @@
     let mut wait = None;
     let asked = async {
         let program = parameter::<Program>(&program)?;
-        let numbered: Numbered = parse(&entry, body).await?;
+        let numbered: Numbered = parse(&context, body).await?;
         wait = numbered.timeout_ms;
         let request = match (numbered.model, numbered.service, numbered.spawn) {
             (Some(model), None, None) => {
@@ -140,14 +140,14 @@
     };
     let asked = asked.await;
     if wants_stream(request) {
-        return stream(&entry, asked, wait);
+        return stream(&context, asked, wait);
     }
-    answer(&entry, asked, wait).await
+    answer(&context, asked, wait).await
 }
 
 #[handler]
 async fn read(
-    entry: Data<&Entry>,
+    context: Data<&Context>,
     Path((program, call)): Path<(String, String)>,
     Query(rest): Query<Rest>,
     request: &poem::Request,
@@ -164,38 +164,38 @@
         })
     });
     if wants_stream(request) {
-        return stream(&entry, asked, rest.timeout_ms);
+        return stream(&context, asked, rest.timeout_ms);
     }
-    answer(&entry, asked, rest.timeout_ms).await
+    answer(&context, asked, rest.timeout_ms).await
 }
 
 #[handler]
-async fn end(entry: Data<&Entry>, Path(program): Path<String>) -> Response {
+async fn end(context: Data<&Context>, Path(program): Path<String>) -> Response {
     let asked = parameter::<Program>(&program).map(|program| Request::End { program });
-    answer(&entry, asked, None).await
+    answer(&context, asked, None).await
 }
 
 #[handler]
-async fn look(entry: Data<&Entry>, Path(program): Path<String>) -> Response {
+async fn look(context: Data<&Context>, Path(program): Path<String>) -> Response {
     let asked = parameter::<Program>(&program).map(|program| Request::Look { program });
-    answer(&entry, asked, None).await
+    answer(&context, asked, None).await
 }
 
 /// One call of a plain service: a program of one call, opened by its idempotency key.
 #[handler]
 async fn plain(
-    entry: Data<&Entry>,
+    context: Data<&Context>,
     Path((service, operation)): Path<(String, String)>,
     request: &poem::Request,
     body: Body,
 ) -> Response {
     let key = request.header("idempotency-key").map(str::to_owned);
-    let answered = plain_call(&entry, &service, &operation, key, body).await;
-    reply(&entry, answered)
+    let answered = plain_call(&context, &service, &operation, key, body).await;
+    reply(&context, answered)
 }
 
 async fn plain_call(
-    entry: &Entry,
+    context: &Context,
     service: &str,
     operation: &str,
     key: Option<String>,
@@ -203,16 +203,16 @@
 ) -> Result<serde_json::Value, Failure> {
     let service = parameter::<Service>(service)?;
     let operation = parameter::<Operation>(operation)?;
-    let body: Box<RawValue> = parse(entry, body).await?;
+    let body: Box<RawValue> = parse(context, body).await?;
     let key = key
         .filter(|key| !key.is_empty() && key.len() <= 200)
         .ok_or_else(|| {
             let message = "the header `idempotency-key` of 1 to 200 bytes is needed";
             Failure::refused(Code::BadBody, message)
         })?;
-    ready(entry)?;
+    ready(context)?;
     let class = {
-        let config = entry.config.borrow();
+        let config = context.config.borrow();
         config.operation(&service, &operation)?;
         // A plain call has no target of its own; the tightest class is the closest guess.
         let tightest = config
@@ -228,7 +228,7 @@
         tokens: id::Tokens(0),
         calls: Some(1),
     };
-    let opened = last(entry, Request::Open { key, class, budget }, WAIT).await?;
+    let opened = last(context, Request::Open { key, class, budget }, WAIT).await?;
     let program = opened["program"].as_str().unwrap_or_default();
     let program = parameter::<Program>(program)?;
     let request = program::Request::Service(Invocation {
@@ -242,15 +242,15 @@
         request,
         from: Position::default(),
     };
-    let answered = last(entry, call, WAIT).await;
+    let answered = last(context, call, WAIT).await;
     if answered.is_ok() {
-        let _ = last(entry, Request::End { program }, WAIT).await;
+        let _ = last(context, Request::End { program }, WAIT).await;
     }
     answered
 }
 
-fn ready(entry: &Entry) -> Result<(), Failure> {
-    let config = entry.config.borrow();
+fn ready(context: &Context) -> Result<(), Failure> {
+    let config = context.config.borrow();
     if config.admits() {
         return Ok(());
     }
@@ -276,8 +276,8 @@
     Ok(())
 }
 
-async fn parse<T: DeserializeOwned>(entry: &Entry, body: Body) -> Result<T, Failure> {
-    let limit = entry.max_body;
+async fn parse<T: DeserializeOwned>(context: &Context, body: Body) -> Result<T, Failure> {
+    let limit = context.max_body_bytes;
     let reading = tokio::time::timeout(BODY, body.into_bytes_limit(limit)).await;
     let late = || Failure::refused(Code::BadBody, "the body did not arrive in time");
     let bytes = reading.map_err(|_| late())?.map_err(|_| {
@@ -305,20 +305,24 @@
     wait.map_or(WAIT, Duration::from_millis).min(LONGEST)
 }
 
-async fn answer(entry: &Entry, request: Result<Request, Failure>, wait: Option<u64>) -> Response {
+async fn answer(
+    context: &Context,
+    request: Result<Request, Failure>,
+    wait: Option<u64>,
+) -> Response {
     let answered = match request {
-        Ok(request) => last(entry, request, bounded_wait(wait)).await,
+        Ok(request) => last(context, request, bounded_wait(wait)).await,
         Err(failure) => Err(failure),
     };
-    reply(entry, answered)
+    reply(context, answered)
 }
 
 async fn last(
-    entry: &Entry,
+    context: &Context,
     request: Request,
     wait: Duration,
 ) -> Result<serde_json::Value, Failure> {
-    let mut frames = entry.router.start(request, wait);
+    let mut frames = context.router.start(request, wait);
     while let Some(frame) = frames.recv().await {
         match frame {
             Frame::Final(body) => return Ok(body),
@@ -329,20 +333,20 @@
     Err(Failure::refused(Code::Internal, "the request was lost").ran(crate::code::Ran::Unknown))
 }
 
-fn reply(entry: &Entry, answered: Result<serde_json::Value, Failure>) -> Response {
+fn reply(context: &Context, answered: Result<serde_json::Value, Failure>) -> Response {
     match answered {
         Ok(body) => {
-            entry.metrics.answer("ok");
+            context.metrics.answer("ok");
             Response::builder()
                 .content_type("application/json")
                 .body(body.to_string())
         }
-        Err(failure) => refusal(entry, &failure),
+        Err(failure) => refusal(context, &failure),
     }
 }
 
-fn refusal(entry: &Entry, failure: &Failure) -> Response {
-    entry.metrics.answer(&failure.code.to_string());
+fn refusal(context: &Context, failure: &Failure) -> Response {
+    context.metrics.answer(&failure.code.to_string());
     let status = StatusCode::from_u16(failure.code.status());
     let body = serde_json::to_string(failure).unwrap_or_default();
     let mut response = Response::builder()
@@ -354,13 +358,13 @@
     response.body(body)
 }
 
-fn stream(entry: &Entry, request: Result<Request, Failure>, wait: Option<u64>) -> Response {
+fn stream(context: &Context, request: Result<Request, Failure>, wait: Option<u64>) -> Response {
     let request = match request {
         Ok(request) => request,
-        Err(failure) => return refusal(entry, &failure),
+        Err(failure) => return refusal(context, &failure),
     };
-    let frames = entry.router.start(request, bounded_wait(wait));
-    let metrics = entry.metrics.clone();
+    let frames = context.router.start(request, bounded_wait(wait));
+    let metrics = context.metrics.clone();
     let events = futures::stream::unfold(frames, next_frame).map(move |frame| {
         match &frame {
             Frame::Final(_) => metrics.answer("ok"),
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -3,5 +3,5 @@
 mod http;
 mod router;
 
-pub(crate) use http::{Entry, routes};
+pub(crate) use http::{Context, routes};
 pub(crate) use router::Router;
--- a/src/entry/router.rs
+++ b/src/entry/router.rs
@@ -21,11 +21,11 @@
 /// Finds owners and passes requests to them.
 #[derive(Debug, Clone)]
 pub(crate) struct Router {
-    pub(crate) me: Vm,
+    pub(crate) vm: Vm,
     pub(crate) shards: u64,
     pub(crate) view: watch::Receiver<Arc<View>>,
-    pub(crate) owner: flume::Sender<Ask>,
-    pub(crate) links: Links,
+    pub(crate) local_owner: flume::Sender<Ask>,
+    pub(crate) connections: Links,
 }
 
 enum Place {
@@ -85,7 +85,7 @@
     fn place(&self, request: &Request) -> Option<Place> {
         let view = self.view.borrow();
         let member = view.owner(request.shard(self.shards))?;
-        Some(if member.vm == self.me {
+        Some(if member.vm == self.vm {
             Place::Here
         } else {
             Place::There(member.address)
@@ -107,7 +107,7 @@
             frames: sender,
             until: until_owner,
         };
-        if self.owner.try_send(ask).is_err() {
+        if self.local_owner.try_send(ask).is_err() {
             let full = Failure::refused(Code::RingFull, "the owner's queue is full")
                 .ran(tries.ran())
                 .retry_after(Duration::from_millis(500));
@@ -135,7 +135,7 @@
             .saturating_duration_since(Instant::now())
             .saturating_sub(MARGIN);
         let asked = self
-            .links
+            .connections
             .ask(to, &resumed(request, tries.passed), wait)
             .await;
         let Ok(mut stream) = asked else {
--- a/src/gateway/conversation/assemble.rs
+++ b/src/gateway/conversation/assemble.rs
@@ -2,7 +2,7 @@
 
 use super::{Gateway, MAX_HISTORY_BYTES};
 use crate::code::{Code, Failure};
-use crate::conversation::{Id, Turn, Walk};
+use crate::conversation::{History, Id, Turn};
 use crate::gateway::peers::{Peer, Question, Reply};
 use crate::telemetry::event;
 use std::rc::Rc;
@@ -34,16 +34,16 @@
                 conversations
                     .cache
                     .borrow_mut()
-                    .walk(Instant::now(), last, MAX_HISTORY_BYTES);
+                    .history(Instant::now(), last, MAX_HISTORY_BYTES);
             let missing = match walk {
-                Walk::Whole(turns) => return Ok(turns),
-                Walk::TooLong => {
+                History::Complete(turns) => return Ok(turns),
+                History::TooLong => {
                     return Err(Failure::refused(
                         Code::TooLarge,
                         "the conversation exceeds the size limit",
                     ));
                 }
-                Walk::Missing(id) => id,
+                History::Missing(id) => id,
             };
             self.fetch_turn(&missing).await?;
         }
--- a/src/gateway/conversation/exchange.rs
+++ b/src/gateway/conversation/exchange.rs
@@ -147,7 +147,7 @@
             return Answer::Turns(Vec::new());
         }
         let mut cache = conversations.cache.borrow_mut();
-        let (turns, _) = cache.back(Instant::now(), id, MAX_ANSWER_BYTES);
+        let (turns, _) = cache.newest_turns(Instant::now(), id, MAX_ANSWER_BYTES);
         Answer::Turns(turns)
     }
 }
--- a/src/gateway/conversation/load.rs
+++ b/src/gateway/conversation/load.rs
@@ -67,13 +67,13 @@
 
     /// Notes which VM has a turn in memory.
     pub(in crate::gateway) fn set_holder(&self, turn: Id, holder: SocketAddr) {
-        let mut pointers = self.pointers.borrow_mut();
-        pointers.set(Instant::now(), turn, holder);
+        let mut locations = self.locations.borrow_mut();
+        locations.set(Instant::now(), turn, holder);
     }
 
     /// Reads the turns of a bucket that were recorded in fallback partitions.
     async fn load_fallback_records(&self, bucket: Bucket) -> Result<(), Error> {
-        let reads = self.layout.others(bucket).into_iter();
+        let reads = self.layout.fallback_partitions(bucket).into_iter();
         let reads = reads.map(|partition| self.read_newest(FALLBACK_TURN_TOPIC, partition));
         // All have to be readable: one that is unavailable may hold the turn.
         for read in futures::future::join_all(reads).await {
@@ -151,12 +151,12 @@
         if conversations.find_cached(id).is_some() {
             return Reply::HeldAt(self.peer_address());
         }
-        let known_holder = conversations.pointers.borrow().get(id);
+        let known_holder = conversations.locations.borrow().get(id);
         if let Some(holder) = known_holder.filter(|holder| Some(*holder) != lost) {
             if self.is_member(holder) && !self.peers.is_silent(holder) {
                 return Reply::HeldAt(holder);
             }
-            conversations.pointers.borrow_mut().remove(id);
+            conversations.locations.borrow_mut().remove(id);
         }
         match conversations.find_in_store(id).await {
             Ok(true) => return Reply::HeldAt(self.peer_address()),
--- a/src/gateway/conversation/mod.rs
+++ b/src/gateway/conversation/mod.rs
@@ -20,7 +20,7 @@
 use super::Gateway;
 use super::peers::Peer;
 use crate::clock;
-use crate::conversation::{Bucket, Cache, Id, Layout, Pointers, Turn};
+use crate::conversation::{Bucket, Cache, Id, Layout, Locations, Turn};
 use crate::platform::records::TURN_TOPICS;
 use crate::platform::store::Store;
 use load::BucketReads;
@@ -61,7 +61,7 @@
     layout: Layout,
     cache: RefCell<Cache>,
     /// Hints on which VM has a turn in memory.
-    pointers: RefCell<Pointers>,
+    locations: RefCell<Locations>,
     writers: RefCell<HashMap<Bucket, Rc<BucketWriter>>>,
     bucket_reads: BucketReads,
     exchange_client: exchange::Client,
@@ -82,7 +82,7 @@
                 partitions,
             },
             cache: RefCell::new(Cache::new(MAX_CACHE_BYTES, CACHE_IDLE_TIMEOUT)),
-            pointers: RefCell::new(Pointers::new(CACHE_IDLE_TIMEOUT)),
+            locations: RefCell::new(Locations::new(CACHE_IDLE_TIMEOUT)),
             writers: RefCell::default(),
             bucket_reads: BucketReads::default(),
             exchange_client: exchange::Client::new(key),
@@ -122,7 +122,7 @@
                 .values()
                 .map(|writer| writer.outbox.borrow().len())
                 .sum(),
-            pointers: self.pointers.borrow().len(),
+            pointers: self.locations.borrow().len(),
         }
     }
 }
--- a/src/gateway/conversation/record.rs
+++ b/src/gateway/conversation/record.rs
@@ -96,7 +96,7 @@
         let conversations = &self.conversations;
         if recorded != Some(RecordedVia::Store) {
             let writer = conversations.writer(conversations.layout.bucket(&turn.id));
-            writer.outbox.borrow_mut().forget(&turn.id);
+            writer.outbox.borrow_mut().remove(&turn.id);
         }
         if recorded.is_none() {
             // Let writes in progress finish before the answer is cut.
@@ -167,7 +167,7 @@
         let store = conversations.store.borrow().clone();
         let writes = conversations
             .layout
-            .others(bucket)
+            .fallback_partitions(bucket)
             .into_iter()
             .map(|partition| {
                 let (store, record) = (&store, &record);
--- a/src/gateway/conversation/sweep.rs
+++ b/src/gateway/conversation/sweep.rs
@@ -23,7 +23,7 @@
         sleep(MEMORY_SWEEP_INTERVAL).await;
         let now = Instant::now();
         conversations.cache.borrow_mut().expire(now);
-        conversations.pointers.borrow_mut().expire(now);
+        conversations.locations.borrow_mut().expire(now);
         if last_store_sweep.elapsed() >= STORE_SWEEP_INTERVAL && gateway.has_store() {
             last_store_sweep = now;
             gateway.sweep_store().await;
--- a/src/gateway/conversation/writer.rs
+++ b/src/gateway/conversation/writer.rs
@@ -38,7 +38,7 @@
     pub(super) async fn wait_until_recorded(&self, id: &Id) {
         loop {
             let written = self.written.notified();
-            if !self.outbox.borrow().lacks(id) {
+            if !self.outbox.borrow().contains(id) {
                 return;
             }
             written.await;
@@ -69,7 +69,7 @@
             }
             match self.append_batch(bucket, &batch).await {
                 Ok(()) => {
-                    writer.outbox.borrow_mut().recorded(&batch);
+                    writer.outbox.borrow_mut().mark_recorded(&batch);
                     writer.written.notify_waiters();
                     self.record_store_success(&writer, bucket);
                     delay = RETRY_BACKOFF.0;
--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -8,7 +8,7 @@
 mod stream;
 
 use crate::code::{Code, Failure};
-use crate::conversation::prompt;
+use crate::conversation::build_prompt;
 use crate::gateway::Gateway;
 use crate::gateway::queue::permit::Permit;
 use crate::gateway::server::attempt::{Answer, Attempt, attempt};
@@ -154,7 +154,7 @@
     let turns = job.gateway.load_history(prev).await;
     job.assembled.set(began.elapsed());
     job.gateway.metrics.assembled(began.elapsed());
-    job.body.replace(prompt(&turns?, &job.input));
+    job.body.replace(build_prompt(&turns?, &job.input));
     Ok(())
 }
 
--- a/src/order/duty.rs
+++ b/src/order/duty.rs
@@ -1,6 +1,6 @@
 //! The order thread: reads and orders the engines of the pools whose shard this VM owns.
 
-use super::reconciler::{Control, Goal, Step};
+use super::reconciler::{Reconciler, State, Step};
 use crate::backend::Engines;
 use crate::config::{Fencing, Pool, Snapshot};
 use crate::id::{Epoch, Model, Server, shard_of};
@@ -37,7 +37,7 @@
 
 struct Held {
     epoch: Epoch,
-    control: Rc<RefCell<Control>>,
+    control: Rc<RefCell<Reconciler>>,
 }
 
 /// Controls engines until the token is cancelled.
@@ -89,19 +89,21 @@
             };
             let interval = config.load_interval();
             let held = held.entry(model.clone()).or_insert_with(|| {
-                let control = Control::new(now, settled, interval);
+                let control = Reconciler::new(now, settled, interval);
                 Held {
                     epoch,
                     control: Rc::new(RefCell::new(control)),
                 }
             });
-            held.control.borrow_mut().pace(now, settled, interval);
-            held.control.borrow_mut().aim(now, &goals(pool));
+            held.control
+                .borrow_mut()
+                .set_intervals(now, settled, interval);
+            held.control.borrow_mut().set_desired(now, &goals(pool));
         }
     }
 
     fn steps(&self, engines: &Engines, model: &Model, held: &Held, now: Instant) {
-        let due = held.control.borrow_mut().due(now);
+        let due = held.control.borrow_mut().due_steps(now);
         for (server, step) in due {
             let Some(address) = self.address(model, &server) else {
                 continue;
@@ -110,7 +112,11 @@
             spawn_local(async move {
                 match step {
                     Step::Read => match engines.state(address).await {
-                        Ok(state) => control.borrow_mut().read(Instant::now(), &server, state),
+                        Ok(state) => {
+                            control
+                                .borrow_mut()
+                                .record_state(Instant::now(), &server, state)
+                        }
                         Err(fault) => {
                             event!(warn, "engine_unread", server = server, reason = fault);
                         }
@@ -141,13 +147,13 @@
 }
 
 /// The goals of the engines for which the pool says anything.
-fn goals(pool: &Pool) -> BTreeMap<Server, Goal> {
-    let goal = Goal {
+fn goals(pool: &Pool) -> BTreeMap<Server, State> {
+    let goal = State {
         weights: pool.weights.clone(),
         adapters: pool.adapters.clone(),
         role: pool.role.clone(),
     };
-    if goal == Goal::default() {
+    if goal == State::default() {
         return BTreeMap::new();
     }
     pool.engines
--- a/src/order/mod.rs
+++ b/src/order/mod.rs
@@ -3,6 +3,6 @@
 mod duty;
 mod reconciler;
 
-pub use reconciler::{Control, Goal, Step};
+pub use reconciler::{Reconciler, State, Step};
 
 pub(crate) use duty::{Context, run};
--- a/src/order/reconciler.rs
+++ b/src/order/reconciler.rs
@@ -12,7 +12,7 @@
 /// What an engine should be, or says it is.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Goal {
+pub struct State {
     /// The version of the model's weights.
     pub weights: Option<String>,
     /// The adapters loaded on top.
@@ -27,13 +27,13 @@
     /// Read its state.
     Read,
     /// Order it to become this.
-    Order(Goal),
+    Order(State),
 }
 
 #[derive(Debug)]
 struct Track {
-    goal: Goal,
-    seen: Option<Goal>,
+    goal: State,
+    seen: Option<State>,
     next: Instant,
 }
 
@@ -43,14 +43,14 @@
 /// holder that reaches an engine late, where the engine ignores its fencing number, shows in the
 /// next reading and is undone: whatever arrives, the engine ends at the newest holder's goal.
 #[derive(Debug)]
-pub struct Control {
+pub struct Reconciler {
     engines: BTreeMap<Server, Track>,
     settled: Duration,
     load_interval: Duration,
     next_load: Instant,
 }
 
-impl Control {
+impl Reconciler {
     /// A controller that starts at `now`, reads settled engines every `settled` and orders new
     /// weights at most once every `load_interval`.
     ///
@@ -59,10 +59,10 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use vanillatrail::order::Control;
+    /// use vanillatrail::order::Reconciler;
     /// let now = tokio::time::Instant::now();
-    /// let mut control = Control::new(now, Duration::from_secs(5), Duration::from_secs(60));
-    /// assert!(control.due(now).is_empty());
+    /// let mut reconciler = Reconciler::new(now, Duration::from_secs(5), Duration::from_secs(60));
+    /// assert!(reconciler.due_steps(now).is_empty());
     /// ```
     #[must_use]
     pub fn new(now: Instant, settled: Duration, load_interval: Duration) -> Self {
@@ -79,12 +79,12 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use vanillatrail::order::Control;
+    /// use vanillatrail::order::Reconciler;
     /// let now = tokio::time::Instant::now();
-    /// let mut control = Control::new(now, Duration::from_secs(5), Duration::from_secs(60));
-    /// control.pace(now, Duration::from_secs(2), Duration::from_secs(6));
+    /// let mut reconciler = Reconciler::new(now, Duration::from_secs(5), Duration::from_secs(60));
+    /// reconciler.set_intervals(now, Duration::from_secs(2), Duration::from_secs(6));
     /// ```
-    pub fn pace(&mut self, now: Instant, settled: Duration, load_interval: Duration) {
+    pub fn set_intervals(&mut self, now: Instant, settled: Duration, load_interval: Duration) {
         self.settled = settled;
         self.load_interval = load_interval;
         self.next_load = self.next_load.min(now + load_interval);
@@ -95,13 +95,13 @@
     /// ```
     /// use std::collections::BTreeMap;
     /// use std::time::Duration;
-    /// use vanillatrail::order::{Control, Goal, Step};
+    /// use vanillatrail::order::{Reconciler, State, Step};
     /// let now = tokio::time::Instant::now();
-    /// let mut control = Control::new(now, Duration::from_secs(5), Duration::ZERO);
-    /// control.aim(now, &BTreeMap::from([("e1".parse().unwrap(), Goal::default())]));
-    /// assert_eq!(control.due(now), [("e1".parse().unwrap(), Step::Read)]);
+    /// let mut reconciler = Reconciler::new(now, Duration::from_secs(5), Duration::ZERO);
+    /// reconciler.set_desired(now, &BTreeMap::from([("e1".parse().unwrap(), State::default())]));
+    /// assert_eq!(reconciler.due_steps(now), [("e1".parse().unwrap(), Step::Read)]);
     /// ```
-    pub fn aim(&mut self, now: Instant, goals: &BTreeMap<Server, Goal>) {
+    pub fn set_desired(&mut self, now: Instant, goals: &BTreeMap<Server, State>) {
         self.engines.retain(|server, _| goals.contains_key(server));
         for (server, goal) in goals {
             let fresh = || Track {
@@ -123,9 +123,9 @@
     /// use std::time::Duration;
     /// let now = tokio::time::Instant::now();
     /// let zero = Duration::ZERO;
-    /// assert!(vanillatrail::order::Control::new(now, zero, zero).due(now).is_empty());
+    /// assert!(vanillatrail::order::Reconciler::new(now, zero, zero).due_steps(now).is_empty());
     /// ```
-    pub fn due(&mut self, now: Instant) -> Vec<(Server, Step)> {
+    pub fn due_steps(&mut self, now: Instant) -> Vec<(Server, Step)> {
         let mut due = Vec::new();
         for (server, track) in &mut self.engines {
             if track.next > now {
@@ -155,16 +155,16 @@
     /// ```
     /// use std::collections::BTreeMap;
     /// use std::time::Duration;
-    /// use vanillatrail::order::{Control, Goal, Step};
+    /// use vanillatrail::order::{Reconciler, State, Step};
     /// let now = tokio::time::Instant::now();
-    /// let mut control = Control::new(now, Duration::from_secs(5), Duration::ZERO);
-    /// let goal = Goal { role: Some("prefill".to_owned()), ..Goal::default() };
-    /// control.aim(now, &BTreeMap::from([("e1".parse().unwrap(), goal.clone())]));
-    /// control.due(now);
-    /// control.read(now, &"e1".parse().unwrap(), Goal::default());
-    /// assert_eq!(control.due(now), [("e1".parse().unwrap(), Step::Order(goal))]);
+    /// let mut reconciler = Reconciler::new(now, Duration::from_secs(5), Duration::ZERO);
+    /// let goal = State { role: Some("prefill".to_owned()), ..State::default() };
+    /// reconciler.set_desired(now, &BTreeMap::from([("e1".parse().unwrap(), goal.clone())]));
+    /// reconciler.due_steps(now);
+    /// reconciler.record_state(now, &"e1".parse().unwrap(), State::default());
+    /// assert_eq!(reconciler.due_steps(now), [("e1".parse().unwrap(), Step::Order(goal))]);
     /// ```
-    pub fn read(&mut self, now: Instant, server: &Server, state: Goal) {
+    pub fn record_state(&mut self, now: Instant, server: &Server, state: State) {
         let Some(track) = self.engines.get_mut(server) else {
             return;
         };
@@ -182,10 +182,10 @@
     /// use std::time::Duration;
     /// let now = tokio::time::Instant::now();
     /// let zero = Duration::ZERO;
-    /// assert_eq!(vanillatrail::order::Control::new(now, zero, zero).unsettled(), 0);
+    /// assert_eq!(vanillatrail::order::Reconciler::new(now, zero, zero).diverged(), 0);
     /// ```
     #[must_use]
-    pub fn unsettled(&self) -> usize {
+    pub fn diverged(&self) -> usize {
         self.engines
             .values()
             .filter(|track| track.seen.is_some())
--- a/src/owner/checkpoint.rs
+++ b/src/owner/checkpoint.rs
@@ -87,7 +87,7 @@
             .iter()
             .filter(|program| !written.contains(&program.id));
         let roots: BTreeSet<_> = missing
-            .filter_map(|program| table.line(program.id).pop())
+            .filter_map(|program| table.lineage(program.id).pop())
             .collect();
         (!roots.is_empty()).then_some(roots)
     }
@@ -108,7 +108,7 @@
             let Some(held) = shards.get(&shard) else {
                 return;
             };
-            let tree = held.table.tree(root);
+            let tree = held.table.subtree(root);
             let waiters = self.waiters.borrow();
             let under_way = |waiter: &super::duty::Waiter| {
                 waiter
--- a/src/owner/dump.rs
+++ b/src/owner/dump.rs
@@ -15,7 +15,7 @@
                 "epoch": epoch,
                 "leaving": held.leaving,
                 "programs": held.table.iter().count(),
-                "open": held.table.open(),
+                "open": held.table.open_count(),
                 "open_programs": open_programs(&held.table),
             });
             Some((shard.to_string(), state))
@@ -38,7 +38,7 @@
     let told = open.map(|program| {
         let state = json!({
             "class": program.class,
-            "next_call": program.next(),
+            "next_call": program.next_call(),
             "opened_ms": program.opened_ms,
             "intent": program.intent,
         });
--- a/src/owner/model.rs
+++ b/src/owner/model.rs
@@ -116,7 +116,7 @@
             .get(&id.shard())
             .ok_or_else(|| not_owner(id.shard()))?;
         let program = held.table.get(id)?;
-        let reserve = program.reserve(&prompt.messages, prompt.max_tokens)?;
+        let reserve = program.reservation_for(&prompt.messages, prompt.max_tokens)?;
         let messages: Vec<Message> = program
             .history
             .iter()
@@ -140,7 +140,7 @@
             model: model.clone(),
             messages,
             max_tokens: prompt.max_tokens,
-            key: id.to_string(),
+            cache_key: id.to_string(),
         };
         Ok((reserve, ask, chat))
     }
@@ -165,7 +165,7 @@
             let streaming = self.engines.complete(lease.grant.address, chat, take);
             tokio::select! {
                 streamed = timeout_at(work.until, streaming) => {
-                    streamed.unwrap_or_else(|_| Err(backend::Fault("the deadline passed".into())))
+                    streamed.unwrap_or_else(|_| Err(backend::EngineError("the deadline passed".into())))
                 }
                 // Dropping the request closes the connection, which the engine takes as cancel.
                 () = run.cancel.cancelled() => return Err(Broken::Cancelled),
@@ -196,10 +196,10 @@
             let (now, made) = (Instant::now(), usage.completion.0);
             forecast.record_answer(now, run.program, now - sent, fresh, made);
         }
-        lease.done(outcome).await;
+        lease.finish(outcome).await;
         match usage {
             Ok(usage) => Ok((run.deltas.borrow().concat().into(), usage)),
-            Err(backend::Fault(reason)) => Err(Broken::Failed(reason)),
+            Err(backend::EngineError(reason)) => Err(Broken::Failed(reason)),
         }
     }
 }
--- a/src/owner/run.rs
+++ b/src/owner/run.rs
@@ -214,7 +214,11 @@
                 .ok_or_else(|| not_owner(id.shard()))?;
             let program = held.table.get(id)?;
             let class = self.context.config.borrow().class(&program.class)?.clone();
-            (class, program.kept.len() as u64, program.history_bytes())
+            (
+                class,
+                program.answered.len() as u64,
+                program.history_bytes(),
+            )
         };
         let reason = if turns >= class.turns {
             Code::TurnLimit
--- a/src/owner/serve.rs
+++ b/src/owner/serve.rs
@@ -105,7 +105,7 @@
             .shards
             .borrow()
             .values()
-            .map(|held| held.table.open())
+            .map(|held| held.table.open_count())
             .sum();
         if open >= self.context.max_programs {
             let message = format!("{open} programs are open");
@@ -141,7 +141,7 @@
             let changed = self.changed.notified();
             let epoch = self.epoch(id.shard())?;
             match self.admit(id, call, digest)? {
-                Admission::Kept(answer) => return answer.body(call),
+                Admission::Answered(answer) => return answer.body(call),
                 Admission::Refuse(failure) => return Err(failure),
                 Admission::Run => match self.running(id, call, digest)? {
                     Some(run) => return run.attend(from, frames, until).await,
@@ -191,7 +191,7 @@
         let busy = self.busy.borrow();
         let ending = held
             .table
-            .line(id)
+            .lineage(id)
             .into_iter()
             .any(|id| busy.contains(&end_gate(id)));
         Ok(!open && !ending && !self.runs.borrow().contains_key(&id))
@@ -244,7 +244,7 @@
         let kept = held
             .table
             .get(id)?
-            .kept
+            .answered
             .get(index)
             .map(|kept| kept.answer.clone());
         kept.ok_or_else(|| {
@@ -295,7 +295,7 @@
         };
         let runs = self.runs.borrow();
         let mut quiet = true;
-        for program in held.table.tree(id) {
+        for program in held.table.subtree(id) {
             if let Some(run) = runs.get(&program) {
                 run.cancel.cancel();
                 quiet = false;
@@ -323,8 +323,8 @@
         let program = held.table.get(id)?;
         Ok(json!({
             "program": id,
-            "calls": program.kept.len(),
-            "tokens": program.used(),
+            "calls": program.answered.len(),
+            "tokens": program.used_tokens(),
             "budget": program.budget,
             "ended_with": program.reason,
         }))
@@ -344,13 +344,13 @@
             "class": program.class,
             "parent": program.parent,
             "children": program.children,
-            "next_call": program.next(),
+            "next_call": program.next_call(),
             "running": running,
             "intent": program.intent,
             "ended": program.is_ended(),
             "ended_with": program.reason,
             "budget": program.budget,
-            "used": program.used(),
+            "used": program.used_tokens(),
             "history_messages": program.history.len(),
             "history_bytes": program.history_bytes(),
             "resident": program.resident,
--- a/src/owner/service.rs
+++ b/src/owner/service.rs
@@ -54,7 +54,7 @@
             () = work.run.cancel.cancelled() => return Err(self.cancelled(work)),
         };
         lease
-            .done(Outcome {
+            .finish(Outcome {
                 failed: reply.is_err(),
                 ..Outcome::default()
             })
@@ -64,8 +64,8 @@
                 self.finish(work, Vec::new(), Answer::Service { status, body })
                     .await
             }
-            Err(backend::Broken { sent, reason }) => {
-                work.run.sent.set(before || sent);
+            Err(backend::ServiceError { maybe_sent, reason }) => {
+                work.run.sent.set(before || maybe_sent);
                 Err(Failure::refused(Code::ServiceFailed, reason)
                     .retry_after(Duration::from_secs(1)))
             }
@@ -83,9 +83,9 @@
         let mut effect = Effect::default();
         work.run.stage.set("journal_intent");
         let event = self.intend(work, invocation).await?;
-        match effect.take(event) {
+        match effect.handle(event) {
             Action::Send => {}
-            Action::Drop => return self.drop_intent(work, self.unsent(work, event)).await,
+            Action::DropIntent => return self.drop_intent(work, self.unsent(work, event)).await,
             _ => return Err(not_owner(work.run.program.shard())),
         }
         work.run.stage.set("send");
@@ -98,7 +98,7 @@
         let reply = sending.await;
         let failed = reply.is_err();
         lease
-            .done(Outcome {
+            .finish(Outcome {
                 failed,
                 ..Outcome::default()
             })
@@ -106,13 +106,15 @@
         work.run.stage.set("journal_done");
         let event = match &reply {
             Ok(_) => Event::Replied,
-            Err(broken) => Event::Broken { sent: broken.sent },
+            Err(broken) => Event::Failed {
+                maybe_sent: broken.maybe_sent,
+            },
         };
-        let answer = match (effect.take(event), reply) {
+        let answer = match (effect.handle(event), reply) {
             (Action::Record, Ok(backend::Reply { status, body })) => {
                 Answer::Service { status, body }
             }
-            (Action::Drop, Err(broken)) => {
+            (Action::DropIntent, Err(broken)) => {
                 work.run.sent.set(false);
                 let failure = Failure::refused(Code::ServiceFailed, broken.reason);
                 return self
@@ -144,16 +146,20 @@
         let receipt = tokio::select! {
             biased;
             receipt = wait => receipt,
-            () = run.cancel.cancelled() => return Ok(Event::Withdrawn),
-            () = tokio::time::sleep_until(until) => return Ok(Event::Withdrawn),
+            () = run.cancel.cancelled() => return Ok(Event::Cancelled),
+            () = tokio::time::sleep_until(until) => return Ok(Event::Cancelled),
         };
         let Receipt { verdict, asked } =
             receipt.map_err(|_| Failure::refused(Code::Internal, "the owner was restarted"))?;
         // A takeover may have been read with the intent: the next owner has its word on the call.
         let held = self.holds(run.program.shard(), work.epoch);
-        let counts = verdict == Verdict::Valid && held && self.intends(run);
+        let valid = verdict == Verdict::Valid && held && self.intends(run);
         let now = Instant::now();
-        Ok(Event::ReadBack { counts, asked, now })
+        Ok(Event::IntentRead {
+            valid,
+            requested_at: asked,
+            now,
+        })
     }
 
     /// Whether the program has this run's intent as the open one of its next call.
@@ -170,7 +176,7 @@
 
     /// The failure of a call whose intent was dropped before it was sent.
     fn unsent(&self, work: &Work, event: Event) -> Failure {
-        if matches!(event, Event::ReadBack { .. }) {
+        if matches!(event, Event::IntentRead { .. }) {
             let message = "not sent within its window";
             return Failure::refused(Code::DeadlinePassed, message)
                 .retry_after(Duration::from_millis(500));
@@ -198,7 +204,7 @@
         let held = shards
             .get(&id.shard())
             .ok_or_else(|| not_owner(id.shard()))?;
-        held.table.get(id)?.afford(Tokens(0), 1)
+        held.table.get(id)?.check_budget(Tokens(0), 1)
     }
 
     fn service_ask(&self, work: &Work) -> Result<Request, Failure> {
--- a/src/owner/spawn.rs
+++ b/src/owner/spawn.rs
@@ -29,7 +29,7 @@
                 let message = "the child of a program with a budget of calls needs one";
                 return Err(Failure::refused(Code::BudgetExceeded, message));
             }
-            parent.afford(budget.tokens, 1 + budget.calls.unwrap_or(0))?;
+            parent.check_budget(budget.tokens, 1 + budget.calls.unwrap_or(0))?;
             if parent.depth >= work.class.depth {
                 return Err(Failure::refused(
                     Code::DepthLimit,
--- a/src/owner/urgency.rs
+++ b/src/owner/urgency.rs
@@ -85,7 +85,7 @@
     let target = Duration::from_millis(class.target_ms);
     let elapsed = Duration::from_millis(wall_ms().saturating_sub(program.opened_ms));
     let opened = now.checked_sub(elapsed).unwrap_or(now);
-    let answers = program.kept.iter();
+    let answers = program.answered.iter();
     let answers = answers.filter(|kept| matches!(kept.answer, Answer::Model { .. }));
     Start {
         class: program.class.clone(),
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -101,7 +101,7 @@
             let (key, pool, permit, outcome): (String, Key, Permit, policy::Outcome) =
                 params.parse()?;
             service.check(&key)?;
-            let command = dispatch::Command::Done {
+            let command = dispatch::Command::Finish {
                 key: pool,
                 permit,
                 outcome: Some(outcome),
@@ -183,7 +183,7 @@
     let (reply, wait) = oneshot::channel::<Result<Grant, Failure>>();
     let command = dispatch::Command::Acquire {
         key: pool.clone(),
-        ask: Box::new(ask),
+        request: Box::new(ask),
         reply,
     };
     let _ = service.dispatch.send_async(command).await;
@@ -199,7 +199,7 @@
         if sent.is_ok() {
             sink.closed().await;
         }
-        let command = dispatch::Command::Done {
+        let command = dispatch::Command::Finish {
             key: pool,
             permit: grant.permit,
             outcome: None,
--- a/src/program/state.rs
+++ b/src/program/state.rs
@@ -77,7 +77,8 @@
     /// Messages of the caller and answers of the models, oldest first.
     pub history: Vec<Message>,
     /// Completed calls, in the order of their numbers from 1.
-    pub kept: Vec<AnsweredCall>,
+    #[serde(rename = "kept")]
+    pub answered: Vec<AnsweredCall>,
     /// Open intent of the next call, if that must not be repeated.
     pub intent: Option<Intent>,
     /// Engines that may have KV cache of this program.
@@ -92,7 +93,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Admission {
     /// The call is complete; return the stored answer.
-    Kept(Answer),
+    Answered(Answer),
     /// The call is next in order; run it.
     Run,
     /// Earlier calls are not complete yet; wait.
@@ -104,13 +105,13 @@
 impl Program {
     /// Number of the next call; calls are numbered from 1.
     #[must_use]
-    pub fn next(&self) -> Call {
-        Call(self.kept.len() as u64 + 1)
+    pub fn next_call(&self) -> Call {
+        Call(self.answered.len() as u64 + 1)
     }
 
     /// Tokens that are spent, reserved or allocated to open children.
     #[must_use]
-    pub fn used(&self) -> Tokens {
+    pub fn used_tokens(&self) -> Tokens {
         let reserved = self
             .reservation
             .map_or(0, |reservation| reservation.tokens.0);
@@ -140,11 +141,11 @@
             return Admission::Refuse(Failure::refused(Code::BadBody, "calls are numbered from 1"));
         }
         if let Some(answered) = self
-            .kept
+            .answered
             .get(usize::try_from(call.0).unwrap_or(usize::MAX) - 1)
         {
             return if answered.digest == digest {
-                Admission::Kept(answered.answer.clone())
+                Admission::Answered(answered.answer.clone())
             } else {
                 let message = format!("call {call} was already made with a different body");
                 Admission::Refuse(Failure::refused(Code::CallConflict, message))
@@ -157,7 +158,7 @@
             };
             return Admission::Refuse(Failure::refused(Code::ProgramEnded, message));
         }
-        if call > self.next() {
+        if call > self.next_call() {
             Admission::Wait
         } else {
             Admission::Run
@@ -171,13 +172,17 @@
     ///
     /// # Errors
     /// [`Code::BudgetExceeded`] if the bound does not fit the budget.
-    pub fn reserve(&self, messages: &[Message], max_tokens: Tokens) -> Result<Tokens, Failure> {
+    pub fn reservation_for(
+        &self,
+        messages: &[Message],
+        max_tokens: Tokens,
+    ) -> Result<Tokens, Failure> {
         let prompt_bound: u64 = messages
             .iter()
             .map(|message| message.content.len() as u64 + MESSAGE_OVERHEAD_TOKENS)
             .sum();
         let bound = Tokens(prompt_bound.saturating_add(max_tokens.0));
-        self.afford(bound, 1)?;
+        self.check_budget(bound, 1)?;
         Ok(bound)
     }
 
@@ -185,16 +190,16 @@
     ///
     /// # Errors
     /// [`Code::BudgetExceeded`] if either limit would be exceeded.
-    pub fn afford(&self, tokens: Tokens, calls: u64) -> Result<(), Failure> {
-        if self.used().0.saturating_add(tokens.0) > self.budget.tokens.0 {
+    pub fn check_budget(&self, tokens: Tokens, calls: u64) -> Result<(), Failure> {
+        if self.used_tokens().0.saturating_add(tokens.0) > self.budget.tokens.0 {
             let message = format!(
                 "{} of {} tokens are used, and the call may need {tokens}",
-                self.used(),
+                self.used_tokens(),
                 self.budget.tokens
             );
             return Err(Failure::refused(Code::BudgetExceeded, message));
         }
-        let used_calls = (self.kept.len() as u64).saturating_add(self.child_calls);
+        let used_calls = (self.answered.len() as u64).saturating_add(self.child_calls);
         if self
             .budget
             .calls
@@ -223,7 +228,7 @@
 
     /// Opens an intent; ignored if the call already has an outcome, so its writer must not send it.
     pub(super) fn open_intent(&mut self, call: Call, digest: Digest, target: &str) {
-        if call == self.next() && !self.is_ended() {
+        if call == self.next_call() && !self.is_ended() {
             let target = target.to_owned();
             self.intent = Some(Intent {
                 call,
@@ -235,7 +240,7 @@
 
     /// Completes the next call: extends the history, settles its tokens and stores the answer.
     pub(super) fn complete_call(&mut self, digest: Digest, messages: &[Message], answer: &Answer) {
-        let call = self.next();
+        let call = self.next_call();
         self.history.extend_from_slice(messages);
         if let Answer::Model { text, usage, .. } = answer {
             // Grows only by the booked tokens: if an engine over-reports once, `context` would
@@ -249,7 +254,7 @@
             });
         }
         self.intent = None;
-        self.kept.push(AnsweredCall {
+        self.answered.push(AnsweredCall {
             digest,
             answer: answer.clone(),
         });
--- a/src/program/table.rs
+++ b/src/program/table.rs
@@ -48,7 +48,7 @@
 
     /// Number of programs that have not ended.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.programs
             .values()
             .filter(|program| !program.is_ended())
@@ -57,7 +57,7 @@
 
     /// The program and all its descendants, breadth first.
     #[must_use]
-    pub fn tree(&self, id: id::Program) -> Vec<id::Program> {
+    pub fn subtree(&self, id: id::Program) -> Vec<id::Program> {
         let mut tree = vec![id];
         let mut index = 0;
         while let Some(next) = tree.get(index) {
@@ -70,7 +70,7 @@
 
     /// The program and its ancestors, ending with the root.
     #[must_use]
-    pub fn line(&self, id: id::Program) -> Vec<id::Program> {
+    pub fn lineage(&self, id: id::Program) -> Vec<id::Program> {
         let parent = |id: &id::Program| self.programs.get(id)?.parent;
         std::iter::successors(Some(id), parent).collect()
     }
@@ -136,7 +136,7 @@
                 answer,
             } => {
                 self.update(*program, |state| {
-                    if *call == state.next() && !state.is_ended() {
+                    if *call == state.next_call() && !state.is_ended() {
                         state.complete_call(*digest, messages, answer);
                     }
                 });
@@ -208,7 +208,7 @@
             self.incomplete.insert(parent);
             return;
         };
-        if call != parent_state.next() || parent_state.is_ended() {
+        if call != parent_state.next_call() || parent_state.is_ended() {
             return;
         }
         parent_state.complete_call(digest, &[], &Answer::Spawned { child });
@@ -237,9 +237,9 @@
             self.end(child, reason, at_ms);
         }
         let program = &self.programs[&id];
-        let (parent, used) = (program.parent, program.used());
+        let (parent, used) = (program.parent, program.used_tokens());
         let allocated = program.budget;
-        let calls = program.kept.len() as u64 + program.child_calls;
+        let calls = program.answered.len() as u64 + program.child_calls;
         if let Some(parent) = parent.and_then(|parent| self.programs.get_mut(&parent)) {
             parent.child_tokens.0 = parent.child_tokens.0.saturating_sub(allocated.tokens.0);
             parent.spent.0 = parent.spent.0.saturating_add(used.0);
@@ -266,7 +266,7 @@
         child_tokens: Tokens(0),
         child_calls: 0,
         history: Vec::new(),
-        kept: Vec::new(),
+        answered: Vec::new(),
         intent: None,
         resident: BTreeSet::new(),
         children: Vec::new(),
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -3,7 +3,7 @@
 use crate::acceptor::NoDelay;
 use crate::code::{Code, Failure};
 use crate::config::{self, Book, Snapshot};
-use crate::entry::{self, Entry, Router};
+use crate::entry::{self, Router};
 use crate::id::{self, Boot, Millicores, Offset};
 use crate::journal::{self, Pace, Share};
 use crate::member::{self, Beat, View};
@@ -287,7 +287,7 @@
             commands,
             config: self.config.clone(),
             view: self.view.clone(),
-            leaving,
+            draining: leaving,
             stop: self.stages.rest.clone(),
         };
         supervisor.duty("dispatch", move || dispatch::run(context.clone()));
@@ -324,10 +324,10 @@
             local: self.local.clone(),
             journal,
             dispatch: dispatch::Client {
-                me: settings.vm.clone(),
-                local: self.dispatch.clone(),
+                vm: settings.vm.clone(),
+                dispatcher: self.dispatch.clone(),
                 view: self.view.clone(),
-                links: self.links.clone(),
+                connections: self.links.clone(),
             },
             metrics: self.metrics.clone(),
             leave: self.stages.owner.clone(),
@@ -358,17 +358,17 @@
     }
 
     fn entry(&self, supervisor: &mut Supervisor, listener: TcpListener) {
-        let entry = Entry {
+        let entry = entry::Context {
             router: Router {
-                me: self.settings.vm.clone(),
+                vm: self.settings.vm.clone(),
                 shards: self.settings.shards,
                 view: self.view.clone(),
-                owner: self.owner.clone(),
-                links: self.links.clone(),
+                local_owner: self.owner.clone(),
+                connections: self.links.clone(),
             },
             config: self.config.clone(),
             metrics: self.metrics.clone(),
-            max_body: self.settings.max_body_bytes,
+            max_body_bytes: self.settings.max_body_bytes,
         };
         let stages = self.stages.clone();
         let bound = Duration::from_millis(self.settings.stop_ms);
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -4,7 +4,6 @@
 //! from a limited cache, and what the published shape lacks (evict, load, orders) is small JSON.
 
 use super::faults::{self, Switches};
-use crate::order::Goal;
 use futures::StreamExt;
 use poem::http::StatusCode;
 use poem::web::sse::{Event, SSE};
@@ -64,7 +63,7 @@
     cache: BTreeMap<String, Cached>,
     clock: u64,
     order: u64,
-    state: Goal,
+    state: crate::order::State,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -282,11 +281,14 @@
 struct Order {
     fence: u64,
     #[serde(default)]
-    goal: Goal,
+    goal: crate::order::State,
 }
 
 #[handler]
-async fn get_state(state: Data<&State>, switches: Data<&Switches>) -> poem::Result<Json<Goal>> {
+async fn get_state(
+    state: Data<&State>,
+    switches: Data<&Switches>,
+) -> poem::Result<Json<crate::order::State>> {
     switches.enter().await?;
     Ok(Json(state.with(|inner| inner.state.clone())))
 }
--- a/tests/conversation.rs
+++ b/tests/conversation.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use vanillatrail::conversation::{
-    Cache, Id, Layout, Outbox, Pointers, Transcript, Turn, Walk, prompt,
+    Cache, History, Id, Layout, Locations, Outbox, Transcript, Turn, build_prompt,
 };
 
 fn id(text: &str) -> Id {
@@ -45,8 +45,8 @@
     cache.insert(now, turn("a", None, "A", "1\n"));
     cache.insert(now, turn("b", Some("a"), "B", "2\n"));
     cache.insert(now, turn("c", Some("a"), "C", "3\n"));
-    let whole = |cache: &mut Cache, last| match cache.walk(now, &id(last), 100) {
-        Walk::Whole(turns) => prompt(&turns, &"new".into()),
+    let whole = |cache: &mut Cache, last| match cache.history(now, &id(last), 100) {
+        History::Complete(turns) => build_prompt(&turns, &"new".into()),
         other => panic!("{other:?}"),
     };
     assert_eq!(whole(&mut cache, "b"), "A1\nB2\nnew");
@@ -60,8 +60,8 @@
     let (now, mut cache) = (Instant::now(), cache());
     cache.insert(now, turn("a", None, "A", "1\n"));
     cache.insert(now, turn("c", Some("b"), "C", "3\n"));
-    assert_eq!(cache.walk(now, &id("c"), 100), Walk::Missing(id("b")));
-    assert_eq!(cache.walk(now, &id("x"), 100), Walk::Missing(id("x")));
+    assert_eq!(cache.history(now, &id("c"), 100), History::Missing(id("b")));
+    assert_eq!(cache.history(now, &id("x"), 100), History::Missing(id("x")));
 }
 
 /// Callers choose the identities. One that names its own turn as the one before, or has said nothing
@@ -71,9 +71,9 @@
     let (now, mut cache) = (Instant::now(), cache());
     cache.insert(now, turn("a", Some("b"), "", ""));
     cache.insert(now, turn("b", Some("a"), "", ""));
-    assert_eq!(cache.walk(now, &id("a"), 1000), Walk::TooLong);
+    assert_eq!(cache.history(now, &id("a"), 1000), History::TooLong);
     cache.insert(now, turn("long", None, "0123456789", ""));
-    assert_eq!(cache.walk(now, &id("long"), 9), Walk::TooLong);
+    assert_eq!(cache.history(now, &id("long"), 9), History::TooLong);
 }
 
 /// The memory is bounded by bytes and by time; a turn that was of use stays, with all that leads to it.
@@ -85,8 +85,8 @@
     cache.insert(now + second, turn("b", Some("a"), "B", "2"));
     cache.insert(now + second, turn("x", None, "X", "9"));
     assert!(matches!(
-        cache.walk(now + second * 2, &id("b"), 100),
-        Walk::Whole(_)
+        cache.history(now + second * 2, &id("b"), 100),
+        History::Complete(_)
     ));
     cache.insert(now + second * 2, turn("y", None, "Y", "8"));
     assert_eq!((cache.len(), cache.bytes()), (3, 6));
@@ -99,7 +99,7 @@
 #[test]
 fn a_pointer_is_a_hint() {
     let (now, second) = (Instant::now(), Duration::from_secs(1));
-    let mut pointers = Pointers::new(second);
+    let mut pointers = Locations::new(second);
     pointers.set(now, id("a"), "10.0.0.1:1".parse().expect("an address"));
     pointers.expire(now + second * 2);
     assert_eq!(pointers.get(&id("a")), None);
@@ -114,7 +114,7 @@
             partitions,
         };
         let bucket = layout.bucket(&id("t"));
-        let others = layout.others(bucket);
+        let others = layout.fallback_partitions(bucket);
         assert!(layout.topic(bucket) < 4 && layout.partition(bucket) < partitions);
         assert!(!others.contains(&layout.partition(bucket)));
         assert!(
@@ -176,7 +176,7 @@
                 Event::Done if !under_way.is_empty() => {
                     let batch = under_way.remove(0);
                     take(&mut store, &batch);
-                    outbox.recorded(&batch);
+                    outbox.mark_recorded(&batch);
                 }
                 Event::Lost if !under_way.is_empty() => take(&mut store, &under_way.remove(0)),
                 Event::Failed if !under_way.is_empty() => drop(under_way.remove(0)),
@@ -184,7 +184,7 @@
             }
             for (id, until_ms) in &asked {
                 let kept = store.get(id).copied().unwrap_or_default();
-                prop_assert!(outbox.lacks(id) || kept >= *until_ms, "{id}");
+                prop_assert!(outbox.contains(id) || kept >= *until_ms, "{id}");
             }
         }
     }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -9,12 +9,12 @@
 use support::{Environment, poll};
 use tokio::time::Instant;
 use vanillatrail::id::Server;
-use vanillatrail::order::{Control, Goal, Step};
+use vanillatrail::order::{Reconciler, State, Step};
 
-fn goal(weights: &str) -> Goal {
-    Goal {
+fn goal(weights: &str) -> State {
+    State {
         weights: Some(weights.to_owned()),
-        ..Goal::default()
+        ..State::default()
     }
 }
 
@@ -31,14 +31,14 @@
         let mut now = start;
         let mut engine = goal("v0");
         let mut holders = ["v1", "v2"].map(|weights| {
-            let mut control = Control::new(now, Duration::from_secs(2), Duration::ZERO);
-            control.aim(now, &BTreeMap::from([(server.clone(), goal(weights))]));
+            let mut control = Reconciler::new(now, Duration::from_secs(2), Duration::ZERO);
+            control.set_desired(now, &BTreeMap::from([(server.clone(), goal(weights))]));
             control
         });
-        let mut act = |control: &mut Control, now: Instant| {
-            for (server, step) in control.due(now) {
+        let mut act = |control: &mut Reconciler, now: Instant| {
+            for (server, step) in control.due_steps(now) {
                 match step {
-                    Step::Read => control.read(now, &server, engine.clone()),
+                    Step::Read => control.record_state(now, &server, engine.clone()),
                     Step::Order(goal) => engine = goal,
                 }
             }
@@ -62,20 +62,20 @@
         schedule in prop::collection::vec((0_u8..8, 1_u64..2000), 20..120),
     ) {
         let interval = Duration::from_secs(3);
-        let goals: BTreeMap<Server, Goal> =
+        let goals: BTreeMap<Server, State> =
             (0..10).map(|n| (format!("e{n}").parse().expect("a name"), goal("v1"))).collect();
         let mut now = Instant::now();
         let mut loads: Vec<Instant> = Vec::new();
-        let mut control = Control::new(now, Duration::from_secs(5), interval);
+        let mut control = Reconciler::new(now, Duration::from_secs(5), interval);
         for (change, wait) in schedule {
             now += Duration::from_millis(wait);
             if change == 0 {
-                control = Control::new(now, Duration::from_secs(5), interval);
+                control = Reconciler::new(now, Duration::from_secs(5), interval);
             }
-            control.aim(now, &goals);
-            for (server, step) in control.due(now) {
+            control.set_desired(now, &goals);
+            for (server, step) in control.due_steps(now) {
                 match step {
-                    Step::Read => control.read(now, &server, goal("v0")),
+                    Step::Read => control.record_state(now, &server, goal("v0")),
                     Step::Order(_) => loads.push(now),
                 }
             }
--- a/tests/world/check.rs
+++ b/tests/world/check.rs
@@ -26,10 +26,10 @@
                 .get(program(index))
                 .map_err(|failure| failure.to_string())?;
             let spent = self.spent.get(&index).copied().unwrap_or(0);
-            if spent > BUDGET.0 || program.used() > BUDGET {
+            if spent > BUDGET.0 || program.used_tokens() > BUDGET {
                 return Err(format!(
                     "program {index} spent {spent}, counted {}",
-                    program.used()
+                    program.used_tokens()
                 ));
             }
         }
@@ -38,7 +38,7 @@
                 .get(program(*index))
                 .map_err(|failure| failure.to_string())?;
             let index = usize::try_from(call.0).expect("small") - 1;
-            let kept = program.kept.get(index).map(|kept| &kept.answer);
+            let kept = program.answered.get(index).map(|kept| &kept.answer);
             if kept != Some(answer) {
                 return Err(format!(
                     "call {call} was told {answer:?}, the history has {kept:?}"
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -250,11 +250,11 @@
         if state.runs.contains_key(&index) || table.intent.is_some() {
             return;
         }
-        let call = table.next();
+        let call = table.next_call();
         let digest = Digest::of(b"body");
         // The caller also asks again for the call before: it has to get the same answer.
         if call.0 > 1
-            && let Admission::Kept(answer) = table.admit(Call(call.0 - 1), digest)
+            && let Admission::Answered(answer) = table.admit(Call(call.0 - 1), digest)
         {
             self.tell(index, Call(call.0 - 1), &answer);
         }
@@ -277,7 +277,7 @@
                 (Kind::Receipt(Effect::default()), intent)
             }
             Some(tokens) => {
-                let Ok(reserve) = table.reserve(&[question()], Tokens(tokens)) else {
+                let Ok(reserve) = table.reservation_for(&[question()], Tokens(tokens)) else {
                     return;
                 };
                 let server = "e0".parse().expect("a name");
@@ -356,9 +356,9 @@
         let Ok(table) = state.table.get(program(index)) else {
             return;
         };
-        if table.next() > run.call {
+        if table.next_call() > run.call {
             // What the history has is what the caller gets.
-            if valid && let Admission::Kept(answer) = table.admit(run.call, run.digest) {
+            if valid && let Admission::Answered(answer) = table.admit(run.call, run.digest) {
                 self.tell(index, run.call, &answer);
             }
             return;
@@ -369,9 +369,13 @@
                 let open = open.is_some_and(|intent| intent.call == run.call);
                 let counts = valid && held && open;
                 let now = self.now;
-                match effect.take(Event::ReadBack { counts, asked, now }) {
+                match effect.handle(Event::IntentRead {
+                    valid: counts,
+                    requested_at: asked,
+                    now,
+                }) {
                     Action::Send => self.send(vm, index, run),
-                    Action::Drop => self.drop_intent(vm, index, run),
+                    Action::DropIntent => self.drop_intent(vm, index, run),
                     _ => {}
                 }
             }
--- a/tests/world/service.rs
+++ b/tests/world/service.rs
@@ -15,7 +15,7 @@
             .expect("one")
             .get(program(index))
             .expect("open")
-            .next();
+            .next_call();
         if run.call > next {
             self.broken = Some(format!("call {} sent before {next} was over", run.call));
         }
@@ -52,10 +52,10 @@
             return;
         };
         let action = match &mut run.kind {
-            Kind::Receipt(effect) => effect.take(Event::Withdrawn),
+            Kind::Receipt(effect) => effect.handle(Event::Cancelled),
             Kind::Model { .. } => Action::Wait,
         };
-        if action == Action::Drop {
+        if action == Action::DropIntent {
             self.drop_intent(vm, index, run);
         } else {
             self.vms[vm].runs.insert(index, run);
@@ -96,11 +96,11 @@
             return;
         }
         let event = if lost {
-            Event::Broken { sent: true }
+            Event::Failed { maybe_sent: true }
         } else {
             Event::Replied
         };
-        let answer = match effect.take(event) {
+        let answer = match effect.handle(event) {
             Action::Record => Answer::Service {
                 status: 200,
                 body: format!("receipt {number}"),
