--- a/src/conversation/bucket.rs
+++ b/src/conversation/bucket.rs
@@ -1,14 +1,13 @@
-//! Which part of the store holds a turn.
+//! Placement of turns in the topics and partitions of the store.
 
 use super::Id;
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Partitions beside its own through which a turn may be recorded. With a quarter of all partitions
-/// away, one of three is there in 98 of 100 cases.
-const OTHERS: u64 = 3;
+/// Fallback partitions per bucket.
+const MAX_FALLBACK_PARTITIONS: u64 = 3;
 
-/// A fixed share of all turns, by a hash of their identities; it is read as a whole.
+/// Hash bucket of turns; each bucket is one partition of one topic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Bucket(pub u64);
 
@@ -18,7 +17,7 @@
     }
 }
 
-/// How buckets are laid out over the topics and partitions of the store.
+/// Mapping of buckets to the topics and partitions of the store.
 ///
 /// ```
 /// use vanillatrail::conversation::{Bucket, Layout};
@@ -29,20 +28,20 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Layout {
-    /// Topics of turns.
+    /// Number of topics that store turns.
     pub topics: u64,
-    /// Partitions of each topic.
+    /// Number of partitions per topic.
     pub partitions: u64,
 }
 
 impl Layout {
-    /// How many buckets there are.
+    /// Number of buckets.
     #[must_use]
     pub const fn count(self) -> u64 {
         self.topics * self.partitions
     }
 
-    /// The bucket of a turn.
+    /// Bucket of a turn, by a hash of its id.
     ///
     /// ```
     /// use vanillatrail::conversation::Layout;
@@ -54,26 +53,27 @@
         Bucket(xxh3_64(id.as_str().as_bytes()) % self.count())
     }
 
-    /// The topic of a bucket.
+    /// Index of the topic that stores a bucket.
     #[must_use]
     pub const fn topic(self, bucket: Bucket) -> u64 {
         bucket.0 / self.partitions
     }
 
-    /// The partition of a bucket within its topic.
+    /// Partition of a bucket within its topic.
     #[must_use]
     pub const fn partition(self, bucket: Bucket) -> u64 {
         bucket.0 % self.partitions
     }
 
-    /// The partitions through which its turns go while its own takes none.
+    /// Partitions for the bucket's turns while its own partition is unavailable.
     #[must_use]
     pub fn fallback_partitions(self, bucket: Bucket) -> Vec<u64> {
         let own = self.partition(bucket);
-        let step = (self.partitions / (OTHERS + 1)).max(1);
-        let others = (1..=OTHERS).map(|index| (own + index * step) % self.partitions);
-        let mut others: Vec<u64> = others.filter(|other| *other != own).collect();
-        others.dedup();
-        others
+        let step = (self.partitions / (MAX_FALLBACK_PARTITIONS + 1)).max(1);
+        let candidates =
+            (1..=MAX_FALLBACK_PARTITIONS).map(|index| (own + index * step) % self.partitions);
+        let mut fallbacks: Vec<u64> = candidates.filter(|number| *number != own).collect();
+        fallbacks.dedup();
+        fallbacks
     }
 }
--- a/src/conversation/cache.rs
+++ b/src/conversation/cache.rs
@@ -1,8 +1,7 @@
-//! Turns in the memory of one VM.
+//! In-memory LRU cache of turns.
 //!
-//! Load it answers: programs whose next turn comes some tens of milliseconds after the one before,
-//! mostly through the same VM, and some that come back after a minute. The former are served from
-//! memory; the latter, and what passes the bound, are read again from other VMs or the store.
+//! Serves programs whose next turn follows shortly, usually through the same VM. Evicted turns are
+//! read again from other VMs or the store.
 
 use super::{Id, Turn};
 use std::collections::{BTreeSet, HashMap};
@@ -10,30 +9,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A turn and when it was last of use.
 #[derive(Debug)]
-struct Held {
+struct Entry {
     turn: Rc<Turn>,
-    used: Instant,
+    last_used: Instant,
 }
 
-/// The turns that lead to one.
+/// Conversation history up to a turn, as far as it is cached.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum History {
-    /// All of them, the oldest first.
+    /// All turns, oldest first.
     Complete(Vec<Rc<Turn>>),
-    /// This one is not here.
+    /// The turn with this id is not cached.
     Missing(Id),
-    /// They are larger than the bound.
+    /// The history exceeds the size limit.
     TooLong,
 }
 
-/// What a turn counts against a bound.
+/// Bytes that a turn counts toward the size limit of a history.
 fn cost(turn: &Turn) -> usize {
     turn.size().max(1)
 }
 
-/// Turns by identity, bounded by bytes and by the time since they were of use.
+/// LRU cache of turns by id, bounded by total size and idle time.
 ///
 /// ```
 /// use std::rc::Rc;
@@ -47,47 +45,55 @@
 /// ```
 #[derive(Debug)]
 pub struct Cache {
-    turns: HashMap<Id, Held>,
-    by_use: BTreeSet<(Instant, Id)>,
+    turns: HashMap<Id, Entry>,
+    by_last_use: BTreeSet<(Instant, Id)>,
     bytes: usize,
-    limit: usize,
-    idle: Duration,
+    max_bytes: usize,
+    idle_timeout: Duration,
 }
 
 impl Cache {
-    /// A cache of at most `limit` bytes of turns that were of use within `idle`.
+    /// Creates a cache that holds at most `max_bytes` and drops turns unused for `idle_timeout`.
+    ///
+    /// A single turn larger than `max_bytes` is kept until the next insert.
     #[must_use]
-    pub fn new(limit: usize, idle: Duration) -> Self {
+    pub fn new(max_bytes: usize, idle_timeout: Duration) -> Self {
         Self {
             turns: HashMap::new(),
-            by_use: BTreeSet::new(),
+            by_last_use: BTreeSet::new(),
             bytes: 0,
-            limit,
-            idle,
+            max_bytes,
+            idle_timeout,
         }
     }
 
-    /// Takes in a turn; the least recently used ones go where it does not fit.
+    /// Inserts or replaces a turn and evicts the least recently used turns over the size limit.
     pub fn insert(&mut self, now: Instant, turn: Rc<Turn>) {
         self.remove(&turn.id);
         self.bytes += turn.size();
-        self.by_use.insert((now, turn.id.clone()));
-        self.turns.insert(turn.id.clone(), Held { turn, used: now });
-        while self.bytes > self.limit && self.turns.len() > 1 {
-            self.drop_first();
+        self.by_last_use.insert((now, turn.id.clone()));
+        self.turns.insert(
+            turn.id.clone(),
+            Entry {
+                turn,
+                last_used: now,
+            },
+        );
+        while self.bytes > self.max_bytes && self.turns.len() > 1 {
+            self.evict_oldest();
         }
     }
 
-    /// A turn by its identity.
+    /// Returns a cached turn and marks it as used.
     pub fn get(&mut self, now: Instant, id: &Id) -> Option<Rc<Turn>> {
-        let held = self.turns.get_mut(id)?;
-        self.by_use.remove(&(held.used, id.clone()));
-        held.used = now;
-        self.by_use.insert((now, id.clone()));
-        Some(Rc::clone(&held.turn))
+        let entry = self.turns.get_mut(id)?;
+        self.by_last_use.remove(&(entry.last_used, id.clone()));
+        entry.last_used = now;
+        self.by_last_use.insert((now, id.clone()));
+        Some(Rc::clone(&entry.turn))
     }
 
-    /// The turns that lead to `last`, itself included, at most `limit` bytes of them.
+    /// Turns up to and including `last`, if all are cached and have at most `limit` bytes.
     pub fn history(&mut self, now: Instant, last: &Id, limit: usize) -> History {
         let (mut turns, next) = self.newest_turns(now, last, limit);
         match next {
@@ -102,8 +108,9 @@
         }
     }
 
-    /// The turns that lead to `last`, the newest first, until `limit` bytes are passed or one is not
-    /// here; and the next one, if there is one.
+    /// Cached turns back from `last`, newest first, until one is missing or `limit` is exceeded.
+    ///
+    /// Also returns the id of the next older turn, or `None` if the history is complete.
     pub fn newest_turns(
         &mut self,
         now: Instant,
@@ -118,52 +125,52 @@
             next.clone_from(&turn.prev);
             turns.push(turn);
             if bytes > limit {
-                // The identities are the callers': one that was used twice could lead back to
-                // itself, so that even empty turns count.
+                // Ids are chosen by callers, so a reused id may form a cycle. Empty turns cost at
+                // least 1 byte, which ends the loop.
                 return (turns, next.or_else(|| Some(last.clone())));
             }
         }
         (turns, next)
     }
 
-    /// Drops what was of no use for too long.
+    /// Evicts turns that were not used for the idle timeout.
     pub fn expire(&mut self, now: Instant) {
-        while let Some((used, _)) = self.by_use.first() {
-            if *used + self.idle > now {
+        while let Some((last_used, _)) = self.by_last_use.first() {
+            if *last_used + self.idle_timeout > now {
                 return;
             }
-            self.drop_first();
+            self.evict_oldest();
         }
     }
 
-    fn drop_first(&mut self) {
-        if let Some((_, id)) = self.by_use.pop_first()
-            && let Some(held) = self.turns.remove(&id)
+    fn evict_oldest(&mut self) {
+        if let Some((_, id)) = self.by_last_use.pop_first()
+            && let Some(entry) = self.turns.remove(&id)
         {
-            self.bytes -= held.turn.size();
+            self.bytes -= entry.turn.size();
         }
     }
 
     fn remove(&mut self, id: &Id) {
-        if let Some(held) = self.turns.remove(id) {
-            self.by_use.remove(&(held.used, id.clone()));
-            self.bytes -= held.turn.size();
+        if let Some(entry) = self.turns.remove(id) {
+            self.by_last_use.remove(&(entry.last_used, id.clone()));
+            self.bytes -= entry.turn.size();
         }
     }
 
-    /// How many turns there are.
+    /// Number of cached turns.
     #[must_use]
     pub fn len(&self) -> usize {
         self.turns.len()
     }
 
-    /// Whether there is none.
+    /// Whether no turn is cached.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.turns.is_empty()
     }
 
-    /// Bytes of all turns.
+    /// Total size of the cached turns in bytes.
     #[must_use]
     pub const fn bytes(&self) -> usize {
         self.bytes
--- a/src/conversation/locations.rs
+++ b/src/conversation/locations.rs
@@ -1,4 +1,4 @@
-//! Which VM has a turn in its memory.
+//! Hints which VM has a turn in memory.
 
 use super::Id;
 use std::collections::HashMap;
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Hints, told by the VMs that served turns, to whoever is asked for them. A hint that is lost or
-/// wrong costs a read of the store, no more.
+/// Last known holder of each turn, as reported by the VMs that served them. A missing or wrong
+/// hint only costs a read from the store.
 ///
 /// ```
 /// use std::time::Duration;
@@ -21,56 +21,57 @@
 #[derive(Debug)]
 pub struct Locations {
     holders: HashMap<Id, (SocketAddr, Instant)>,
-    kept: Duration,
+    max_age: Duration,
 }
 
-/// Hints at the most: 100 bytes each, 5 MB in all.
-const MOST: usize = 50_000;
+/// Limit on the number of hints; about 5 MB.
+const MAX_HINTS: usize = 50_000;
 
 impl Locations {
-    /// Hints that are kept for as long as a VM keeps a turn in memory.
+    /// Creates an empty map; `max_age` should be the time for which VMs cache unused turns.
     #[must_use]
-    pub fn new(kept: Duration) -> Self {
+    pub fn new(max_age: Duration) -> Self {
         Self {
             holders: HashMap::new(),
-            kept,
+            max_age,
         }
     }
 
-    /// A VM has a turn.
+    /// Records that a VM holds a turn; ignored while the map is full.
     pub fn set(&mut self, now: Instant, id: Id, holder: SocketAddr) {
-        if self.holders.len() >= MOST {
+        if self.holders.len() >= MAX_HINTS {
             self.expire(now);
         }
-        if self.holders.len() < MOST {
+        if self.holders.len() < MAX_HINTS {
             self.holders.insert(id, (holder, now));
         }
     }
 
-    /// The VM that has a turn.
+    /// Address of the VM that last reported to hold a turn.
     #[must_use]
     pub fn get(&self, id: &Id) -> Option<SocketAddr> {
         self.holders.get(id).map(|(holder, _)| *holder)
     }
 
-    /// The VM does not have it.
+    /// Removes a hint that turned out to be wrong.
     pub fn remove(&mut self, id: &Id) {
         self.holders.remove(id);
     }
 
-    /// Drops hints that are too old.
+    /// Drops hints older than the maximum age.
     pub fn expire(&mut self, now: Instant) {
-        let kept = self.kept;
-        self.holders.retain(|_, (_, told)| *told + kept > now);
+        let max_age = self.max_age;
+        self.holders
+            .retain(|_, (_, reported_at)| *reported_at + max_age > now);
     }
 
-    /// How many hints there are.
+    /// Number of hints, including expired ones that were not dropped yet.
     #[must_use]
     pub fn len(&self) -> usize {
         self.holders.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no hints.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
--- a/src/conversation/mod.rs
+++ b/src/conversation/mod.rs
@@ -1,11 +1,11 @@
-//! The turns of conversations that the system keeps for their callers.
+//! Conversation histories that the system stores for callers.
 //!
-//! A caller sends the new input of a turn and names the turn that it goes on from; the backend server
-//! is to get all that was said before. Each finished turn is one immutable record under the turn's own
-//! identity, so that any VM may write it, and write it again, without agreeing with another one.
-//! Records name the turn before, which keeps the bytes of a conversation linear in its length.
+//! A caller sends only the new input and the id of the previous turn; the backend server gets the
+//! whole history. Each finished turn is one immutable record with its own id, so any VM can write
+//! it, repeatedly and without coordination. A record links to the previous turn instead of
+//! repeating it, so stored bytes grow linearly with the conversation.
 //!
-//! All parts here decide and do no I/O.
+//! Nothing in this module does I/O.
 
 mod bucket;
 mod cache;
--- a/src/conversation/outbox.rs
+++ b/src/conversation/outbox.rs
@@ -1,11 +1,11 @@
-//! Turns that the store has not taken yet, of one bucket.
+//! Turns of one bucket that are not recorded in the store yet.
 
 use super::{Id, Turn};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Turns to be recorded. Each stays until a write that held it was acknowledged, so that a write may
-/// fail, be lost or be done twice.
+/// Queue of turns to write to the store. A turn stays until a write that contains it is
+/// acknowledged, so writes may fail or be repeated.
 ///
 /// ```
 /// use std::rc::Rc;
@@ -23,64 +23,64 @@
 }
 
 impl Outbox {
-    /// Takes in a turn, or one that is to be kept for longer.
+    /// Adds a turn, or replaces a queued one that expires earlier.
     pub fn push(&mut self, turn: Rc<Turn>) {
-        let longer = self.turns.get(&turn.id);
-        if longer.is_none_or(|known| known.until_ms < turn.until_ms) {
+        let queued = self.turns.get(&turn.id);
+        if queued.is_none_or(|queued| queued.until_ms < turn.until_ms) {
             self.turns.insert(turn.id.clone(), turn);
         }
     }
 
-    /// Turns for one write, at most `limit` bytes of them, but one at least.
+    /// Turns for the next write, up to `limit` bytes but at least one turn.
     #[must_use]
     pub fn batch(&self, limit: usize) -> Vec<Rc<Turn>> {
         let mut bytes = 0;
-        let fits = self.turns.values().enumerate().take_while(|(index, turn)| {
+        let selected = self.turns.values().enumerate().take_while(|(index, turn)| {
             bytes += turn.size();
             *index == 0 || bytes <= limit
         });
-        fits.map(|(_, turn)| Rc::clone(turn)).collect()
+        selected.map(|(_, turn)| Rc::clone(turn)).collect()
     }
 
-    /// A write of these turns was acknowledged.
+    /// Removes turns whose write was acknowledged, unless a longer retention was queued since.
     pub fn mark_recorded(&mut self, batch: &[Rc<Turn>]) {
         for turn in batch {
-            let same = self.turns.get(&turn.id);
-            if same.is_some_and(|known| known.until_ms <= turn.until_ms) {
+            let queued = self.turns.get(&turn.id);
+            if queued.is_some_and(|queued| queued.until_ms <= turn.until_ms) {
                 self.turns.remove(&turn.id);
             }
         }
     }
 
-    /// Drops a turn whose answer did not end as whole: nobody goes on from it.
+    /// Removes a turn whose response did not reach the caller completely.
     pub fn remove(&mut self, id: &Id) {
         self.turns.remove(id);
     }
 
-    /// Drops turns that nobody can come back to.
+    /// Removes expired turns.
     pub fn expire(&mut self, now_ms: u64) {
         self.turns.retain(|_, turn| turn.until_ms > now_ms);
     }
 
-    /// Whether the store may lack a turn.
+    /// Whether a turn is queued, that is, possibly not in the store yet.
     #[must_use]
     pub fn contains(&self, id: &Id) -> bool {
         self.turns.contains_key(id)
     }
 
-    /// A turn that the store may lack.
+    /// Returns a queued turn.
     #[must_use]
     pub fn get(&self, id: &Id) -> Option<&Rc<Turn>> {
         self.turns.get(id)
     }
 
-    /// How many turns there are.
+    /// Number of queued turns.
     #[must_use]
     pub fn len(&self) -> usize {
         self.turns.len()
     }
 
-    /// Whether there is none.
+    /// Whether no turn is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.turns.is_empty()
--- a/src/conversation/transcript.rs
+++ b/src/conversation/transcript.rs
@@ -1,8 +1,8 @@
-//! What was said in the events of one answer.
+//! Extracts the data of a server-sent event stream.
 
 use bytes::{Bytes, BytesMut};
 
-/// Collects the data of the events of one answer.
+/// Collects the data fields of the events of one response.
 ///
 /// ```
 /// use vanillatrail::conversation::Transcript;
@@ -16,10 +16,10 @@
 }
 
 impl Transcript {
-    /// Takes in whole events, as the server sent them.
+    /// Appends the data of complete events in wire format.
     pub fn push(&mut self, events: &[u8]) {
-        // Data of an event that has several lines of it are joined by line feeds; a line feed ends
-        // the event. Both come to one after each line of data.
+        // Data lines of one event are joined by line feeds, and a line feed is added after each
+        // event; so every data line is followed by exactly one.
         for line in events.split(|byte| *byte == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             let Some(value) = line.strip_prefix(b"data:") else {
@@ -31,19 +31,19 @@
         }
     }
 
-    /// Bytes so far.
+    /// Size of the collected data in bytes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.data.len()
     }
 
-    /// Whether nothing was said.
+    /// Whether no data was collected.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.data.is_empty()
     }
 
-    /// All that was said.
+    /// Returns the collected data.
     #[must_use]
     pub fn finish(self) -> Bytes {
         self.data.freeze()
--- a/src/conversation/turn.rs
+++ b/src/conversation/turn.rs
@@ -1,4 +1,4 @@
-//! One finished turn.
+//! Finished turns and their ids.
 
 use bytes::{Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::str::FromStr;
 
-/// Bytes of an identity at the most; a key of the store has 255. Callers use 16, and a team's name goes before.
-const ID: usize = 200;
+/// Keys in the store have at most 255 bytes.
+const MAX_ID_BYTES: usize = 200;
 
-/// The identity of a turn, as its caller chose it.
+/// Id of a turn: the name that its caller chose, prefixed with the team.
 ///
 /// ```
 /// use vanillatrail::conversation::Id;
@@ -21,7 +21,7 @@
 pub struct Id(Rc<str>);
 
 impl Id {
-    /// Its text.
+    /// The id as text, 1 to 200 printable ASCII characters.
     ///
     /// ```
     /// use vanillatrail::conversation::Id;
@@ -43,11 +43,11 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        if text.is_empty() || text.len() > ID {
-            return Err(format!("a turn's identity has 1 to {ID} bytes"));
+        if text.is_empty() || text.len() > MAX_ID_BYTES {
+            return Err(format!("a turn id must have 1 to {MAX_ID_BYTES} bytes"));
         }
         if !text.bytes().all(|byte| byte.is_ascii_graphic()) {
-            return Err("a turn's identity is printable".to_owned());
+            return Err("a turn id must be printable ASCII without spaces".to_owned());
         }
         Ok(Self(text.into()))
     }
@@ -67,7 +67,7 @@
     }
 }
 
-/// A turn whose answer reached its caller whole.
+/// A turn whose response reached its caller completely.
 ///
 /// ```
 /// use vanillatrail::conversation::Turn;
@@ -83,37 +83,37 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Turn {
-    /// Its identity.
+    /// Key of the turn's record in the store.
     pub id: Id,
-    /// The turn that it went on from.
+    /// Previous turn of the conversation; `None` for the first.
     pub prev: Option<Id>,
-    /// The time of day, in milliseconds, until which it is kept.
+    /// End of retention, in milliseconds since the Unix epoch.
     pub until_ms: u64,
-    /// What the caller sent.
+    /// Body of the caller's request.
     pub input: Bytes,
-    /// The data of each event, followed by a line feed.
+    /// Data of the response's events, each followed by a line feed.
     pub output: Bytes,
 }
 
 impl Turn {
-    /// The record of the turn.
+    /// Encodes the turn as `MessagePack`.
     ///
     /// # Panics
-    /// Never: each field can be written.
+    /// Never: all fields are serializable.
     #[must_use]
     pub fn encode(&self) -> Bytes {
         rmp_serde::to_vec(self)
-            .expect("a turn can be encoded")
+            .expect("a turn is serializable")
             .into()
     }
 
-    /// Reads a record; none where it is not a turn's.
+    /// Decodes a stored turn; `None` if the record is malformed.
     #[must_use]
     pub fn decode(record: &[u8]) -> Option<Self> {
         rmp_serde::from_slice(record).ok()
     }
 
-    /// Bytes of what was said.
+    /// Size of input and output in bytes.
     ///
     /// ```
     /// # use vanillatrail::conversation::Turn;
@@ -126,7 +126,7 @@
     }
 }
 
-/// What a backend server gets: all turns, the oldest first, then the new input.
+/// Builds the request body for a backend server: all turns, oldest first, then the new input.
 ///
 /// ```
 /// # use std::rc::Rc;
@@ -137,11 +137,11 @@
 #[must_use]
 pub fn build_prompt(turns: &[Rc<Turn>], input: &Bytes) -> Bytes {
     let size = turns.iter().map(|turn| turn.size()).sum::<usize>();
-    let mut whole = BytesMut::with_capacity(size + input.len());
+    let mut body = BytesMut::with_capacity(size + input.len());
     for turn in turns {
-        whole.extend_from_slice(&turn.input);
-        whole.extend_from_slice(&turn.output);
+        body.extend_from_slice(&turn.input);
+        body.extend_from_slice(&turn.output);
     }
-    whole.extend_from_slice(input);
-    whole.freeze()
+    body.extend_from_slice(input);
+    body.freeze()
 }
--- a/src/effect/mod.rs
+++ b/src/effect/mod.rs
@@ -1,4 +1,4 @@
-//! Calls that must not be repeated: when to send, when to drop, and what to say of the outcome.
+//! State machine of a call that must not be repeated: sends it at most once.
 
 mod state;
 
--- a/src/effect/state.rs
+++ b/src/effect/state.rs
@@ -1,47 +1,47 @@
-//! The decision on one call that must not be repeated: events in, actions out, no I/O.
+//! State machine of one call that must not be repeated. Does no I/O.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Age of what was read from the log past which an intent is dropped instead of sent.
+/// Maximum age of the log read that returned the intent; an older intent is dropped, not sent.
 ///
-/// It is counted from when the read was sent, not from when its reply was seen: a process that
-/// was stopped in between finds an old reply in its socket and would take it for news.
-const SEND_WINDOW: Duration = Duration::from_secs(3);
+/// The age counts from when the read was sent: a process that was suspended may find an outdated
+/// reply in its socket.
+const MAX_READ_AGE: Duration = Duration::from_secs(3);
 
-/// What has happened to the call.
+/// Input of the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// The intent was read back.
+    /// The intent was read back from the log.
     IntentRead {
-        /// It is valid, and the program has it as the open intent of its next call.
+        /// Whether the record is valid and is the open intent of the program's next call.
         valid: bool,
-        /// When the read that showed it was sent.
+        /// When the read request was sent.
         requested_at: Instant,
-        /// The time of the decision.
+        /// Current time.
         now: Instant,
     },
-    /// The deadline passed, the program is to end, or another VM took the shard over.
+    /// The deadline passed, the program is ending, or another VM took the shard over.
     Cancelled,
     /// The service replied.
     Replied,
-    /// There is no reply that tells the outcome.
+    /// The request failed without a reply from which the outcome is known.
     Failed {
         /// Whether any of the request may have reached the service.
         maybe_sent: bool,
     },
 }
 
-/// What is to be done next.
+/// Output of the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Nothing now.
+    /// Do nothing.
     Wait,
-    /// Send the call; this action is given once at most.
+    /// Send the call; returned at most once.
     Send,
     /// Record that the intent was dropped, and refuse the call as not run.
     DropIntent,
-    /// Leave the call to the owner whose records count, and send nothing.
+    /// Send and record nothing; another VM owns the shard or the call already has an outcome.
     Abandon,
     /// Record the reply as the answer.
     Record,
@@ -52,12 +52,12 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum Stage {
     #[default]
-    Recording,
+    RecordingIntent,
     Sent,
-    Over,
+    Done,
 }
 
-/// One call whose intent is on its way into the log.
+/// State of one call, starting when its intent is appended to the log.
 ///
 /// ```
 /// use vanillatrail::effect::{Action, Effect, Event};
@@ -72,35 +72,35 @@
 }
 
 impl Effect {
-    /// Takes in an event and gives the action that follows.
+    /// Handles an event and returns the next action.
     ///
     /// ```
     /// use vanillatrail::effect::{Action, Effect, Event};
     /// let now = tokio::time::Instant::now();
     /// let mut effect = Effect::default();
     /// assert_eq!(effect.handle(Event::Cancelled), Action::DropIntent);
-    /// let late = Event::IntentRead { valid: true, requested_at: now, now };
-    /// assert_eq!(effect.handle(late), Action::Wait);
+    /// let late_read = Event::IntentRead { valid: true, requested_at: now, now };
+    /// assert_eq!(effect.handle(late_read), Action::Wait);
     /// ```
     pub fn handle(&mut self, event: Event) -> Action {
         let (stage, action) = match (self.stage, event) {
             (
-                Stage::Recording,
+                Stage::RecordingIntent,
                 Event::IntentRead {
                     valid,
                     requested_at,
                     now,
                 },
-            ) => Self::read_back(valid, now.saturating_duration_since(requested_at)),
-            // The intent may still reach the log. Only this process could send it, and with the
-            // stage over it never does, so "not run" stays true.
-            (Stage::Recording, Event::Cancelled)
+            ) => Self::on_intent_read(valid, now.saturating_duration_since(requested_at)),
+            // The intent may still reach the log, but only this process could send the call, and
+            // in stage `Done` it never does. So the call can be reported as not run.
+            (Stage::RecordingIntent, Event::Cancelled)
             | (Stage::Sent, Event::Failed { maybe_sent: false }) => {
-                (Stage::Over, Action::DropIntent)
+                (Stage::Done, Action::DropIntent)
             }
-            (Stage::Sent, Event::Replied) => (Stage::Over, Action::Record),
+            (Stage::Sent, Event::Replied) => (Stage::Done, Action::Record),
             (Stage::Sent, Event::Failed { maybe_sent: true }) => {
-                (Stage::Over, Action::RecordUnknown)
+                (Stage::Done, Action::RecordUnknown)
             }
             (stage, _) => (stage, Action::Wait),
         };
@@ -108,12 +108,12 @@
         action
     }
 
-    fn read_back(valid: bool, age: Duration) -> (Stage, Action) {
+    fn on_intent_read(valid: bool, age: Duration) -> (Stage, Action) {
         if !valid {
-            return (Stage::Over, Action::Abandon);
+            return (Stage::Done, Action::Abandon);
         }
-        if age > SEND_WINDOW {
-            return (Stage::Over, Action::DropIntent);
+        if age > MAX_READ_AGE {
+            return (Stage::Done, Action::DropIntent);
         }
         (Stage::Sent, Action::Send)
     }
--- a/src/order/duty.rs
+++ b/src/order/duty.rs
@@ -1,4 +1,4 @@
-//! The order thread: reads and orders the engines of the pools whose shard this VM owns.
+//! Order thread: reconciles the engines of the pools whose shard this VM owns.
 
 use super::reconciler::{Reconciler, State, Step};
 use crate::backend::Engines;
@@ -17,16 +17,16 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 use tokio_util::sync::CancellationToken;
 
-/// Time between looks at what is due.
-const TICK: Duration = Duration::from_millis(250);
-/// A gap between two looks past which this process may have been paused and succeeded.
-const PAUSED: Duration = Duration::from_secs(2);
-/// Time between readings of a settled engine, where it checks fencing numbers.
-const CHECKED: Duration = Duration::from_secs(10);
-/// Time between readings of a settled engine, where it takes any order.
-const IGNORED: Duration = Duration::from_secs(2);
+/// Time between checks for due steps.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Longest gap between ticks before the process counts as suspended.
+const MAX_TICK_GAP: Duration = Duration::from_secs(2);
+/// Time between reads of an engine in its desired state, if it checks fencing tokens.
+const FENCED_POLL_INTERVAL: Duration = Duration::from_secs(10);
+/// Time between reads of an engine in its desired state, if it ignores fencing tokens.
+const UNFENCED_POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the order thread works with.
+/// Dependencies of the order thread.
 #[derive(Debug, Clone)]
 pub(crate) struct Context {
     pub(crate) shards: u64,
@@ -35,101 +35,107 @@
     pub(crate) stop: CancellationToken,
 }
 
-struct Held {
+struct OwnedPool {
     epoch: Epoch,
-    control: Rc<RefCell<Reconciler>>,
+    reconciler: Rc<RefCell<Reconciler>>,
 }
 
-/// Controls engines until the token is cancelled.
+/// Reconciles engines until the token is cancelled.
 pub(crate) async fn run(context: Context) {
     let engines = Engines::new();
-    let mut held: BTreeMap<Model, Held> = BTreeMap::new();
-    let mut tick = interval(TICK);
+    let mut pools: BTreeMap<Model, OwnedPool> = BTreeMap::new();
+    let mut tick = interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut last = Instant::now();
+    let mut last_tick = Instant::now();
     loop {
         tokio::select! {
             _ = tick.tick() => {}
             () = context.stop.cancelled() => return,
         }
         let now = Instant::now();
-        if now - last > PAUSED {
-            // Another VM may hold the pools by now and pace the loads of the store; start over as
-            // a new holder would.
-            held.clear();
+        if now - last_tick > MAX_TICK_GAP {
+            // Another VM may have taken the pools over meanwhile and loaded weights; start over
+            // like a new owner.
+            pools.clear();
         }
-        last = now;
-        context.refresh(&mut held, now);
-        for (model, held) in &held {
-            context.steps(&engines, model, held, now);
+        last_tick = now;
+        context.refresh(&mut pools, now);
+        for (model, pool) in &pools {
+            context.run_steps(&engines, model, pool, now);
         }
     }
 }
 
 impl Context {
-    /// Takes up the pools whose shard this VM owns now, and drops the others.
-    fn refresh(&self, held: &mut BTreeMap<Model, Held>, now: Instant) {
+    /// Adds newly owned pools, drops others, and updates desired states and intervals.
+    fn refresh(&self, owned_pools: &mut BTreeMap<Model, OwnedPool>, now: Instant) {
         let config = self.config.borrow().clone();
-        let owned: BTreeMap<_, _> = self.local.borrow().held.iter().copied().collect();
+        let owned_shards: BTreeMap<_, _> = self.local.borrow().held.iter().copied().collect();
         let epoch_of = |model: &Model| {
-            owned
+            owned_shards
                 .get(&shard_of(&format!("pool/{model}"), self.shards))
                 .copied()
         };
-        held.retain(|model, held| {
-            config.pools.contains_key(model) && epoch_of(model) == Some(held.epoch)
+        owned_pools.retain(|model, owned_pool| {
+            config.pools.contains_key(model) && epoch_of(model) == Some(owned_pool.epoch)
         });
         for (model, pool) in &config.pools {
             let Some(epoch) = epoch_of(model) else {
                 continue;
             };
-            let settled = match pool.fencing {
-                Fencing::Checked => CHECKED,
-                Fencing::Ignored => IGNORED,
+            let poll_interval = match pool.fencing {
+                Fencing::Checked => FENCED_POLL_INTERVAL,
+                Fencing::Ignored => UNFENCED_POLL_INTERVAL,
             };
-            let interval = config.load_interval();
-            let held = held.entry(model.clone()).or_insert_with(|| {
-                let control = Reconciler::new(now, settled, interval);
-                Held {
+            let load_interval = config.load_interval();
+            let owned_pool = owned_pools.entry(model.clone()).or_insert_with(|| {
+                let reconciler = Reconciler::new(now, poll_interval, load_interval);
+                OwnedPool {
                     epoch,
-                    control: Rc::new(RefCell::new(control)),
+                    reconciler: Rc::new(RefCell::new(reconciler)),
                 }
             });
-            held.control
+            owned_pool
+                .reconciler
                 .borrow_mut()
-                .set_intervals(now, settled, interval);
-            held.control.borrow_mut().set_desired(now, &goals(pool));
+                .set_intervals(now, poll_interval, load_interval);
+            owned_pool
+                .reconciler
+                .borrow_mut()
+                .set_desired(now, &desired_states(pool));
         }
     }
 
-    fn steps(&self, engines: &Engines, model: &Model, held: &Held, now: Instant) {
-        let due = held.control.borrow_mut().due_steps(now);
-        for (server, step) in due {
-            let Some(address) = self.address(model, &server) else {
+    /// Starts the due steps of a pool's engines as tasks.
+    fn run_steps(&self, engines: &Engines, model: &Model, pool: &OwnedPool, now: Instant) {
+        let steps = pool.reconciler.borrow_mut().due_steps(now);
+        for (server, step) in steps {
+            let Some(address) = self.engine_address(model, &server) else {
                 continue;
             };
-            let (engines, control, epoch) = (engines.clone(), held.control.clone(), held.epoch);
+            let (engines, reconciler, epoch) =
+                (engines.clone(), pool.reconciler.clone(), pool.epoch);
             spawn_local(async move {
                 match step {
-                    Step::Read => match engines.state(address).await {
+                    Step::Read => match engines.read_state(address).await {
                         Ok(state) => {
-                            control
+                            reconciler
                                 .borrow_mut()
                                 .record_state(Instant::now(), &server, state)
                         }
-                        Err(fault) => {
-                            event!(warn, "engine_unread", server = server, reason = fault);
+                        Err(error) => {
+                            event!(warn, "engine_unread", server = server, reason = error);
                         }
                     },
-                    Step::Order(goal) => {
-                        let ordered = engines.order(address, epoch, &goal).await;
-                        let reason = ordered.map_or_else(|fault| fault.0, |()| "ok".to_owned());
+                    Step::Order(desired) => {
+                        let ordered = engines.send_order(address, epoch, &desired).await;
+                        let result = ordered.map_or_else(|error| error.0, |()| "ok".to_owned());
                         event!(
                             info,
                             "engine_ordered",
                             server = server,
                             epoch = epoch,
-                            result = reason
+                            result = result
                         );
                     }
                 }
@@ -137,7 +143,7 @@
         }
     }
 
-    fn address(&self, model: &Model, server: &Server) -> Option<SocketAddr> {
+    fn engine_address(&self, model: &Model, server: &Server) -> Option<SocketAddr> {
         let config = self.config.borrow();
         let mut engines = config.pools.get(model)?.engines.iter();
         engines
@@ -146,18 +152,18 @@
     }
 }
 
-/// The goals of the engines for which the pool says anything.
-fn goals(pool: &Pool) -> BTreeMap<Server, State> {
-    let goal = State {
+/// Desired states of the pool's engines; empty if the pool configures none.
+fn desired_states(pool: &Pool) -> BTreeMap<Server, State> {
+    let desired = State {
         weights: pool.weights.clone(),
         adapters: pool.adapters.clone(),
         role: pool.role.clone(),
     };
-    if goal == State::default() {
+    if desired == State::default() {
         return BTreeMap::new();
     }
     pool.engines
         .iter()
-        .map(|engine| (engine.name.clone(), goal.clone()))
+        .map(|engine| (engine.name.clone(), desired.clone()))
         .collect()
 }
--- a/src/order/mod.rs
+++ b/src/order/mod.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: which weights, adapters and role each should have.
+//! Keeps the weights, adapters and role of engines at the configured state.
 
 mod duty;
 mod reconciler;
--- a/src/order/reconciler.rs
+++ b/src/order/reconciler.rs
@@ -1,4 +1,4 @@
-//! What to order of each engine of a pool, from what it should be and what it says it is.
+//! Decides which orders to send to the engines of a pool, from their desired and reported states.
 
 use crate::id::Server;
 use serde::{Deserialize, Serialize};
@@ -6,56 +6,56 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time between an order, or a failed step, and the next look at the engine.
-const AGAIN: Duration = Duration::from_millis(500);
+/// Delay after a step before the next one, unless a state is reported meanwhile.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What an engine should be, or says it is.
+/// Desired or reported state of an engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct State {
-    /// The version of the model's weights.
+    /// Version of the model weights.
     pub weights: Option<String>,
-    /// The adapters loaded on top.
+    /// Names of the loaded adapters.
     pub adapters: BTreeSet<String>,
-    /// The role, in the engine's own words.
+    /// Engine-specific role, such as `prefill`.
     pub role: Option<String>,
 }
 
-/// What to do with an engine now.
+/// Next operation on an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Read its state.
+    /// Read the engine's state.
     Read,
-    /// Order it to become this.
+    /// Order the engine to change to this state.
     Order(State),
 }
 
 #[derive(Debug)]
-struct Track {
-    goal: State,
-    seen: Option<State>,
-    next: Instant,
+struct Engine {
+    desired: State,
+    /// Last reported state, if it differed from `desired` and no step was taken since.
+    diverged: Option<State>,
+    next_step: Instant,
 }
 
-/// Brings the engines of one pool to their goals and keeps them there.
+/// Reconciles the engines of one pool with their desired states.
 ///
-/// Orders follow the state that was read, not the change that caused them. An order of a former
-/// holder that reaches an engine late, where the engine ignores its fencing number, shows in the
-/// next reading and is undone: whatever arrives, the engine ends at the newest holder's goal.
+/// Orders depend only on the reported state. If an engine that ignores fencing tokens executes a
+/// delayed order of a previous owner, the next read shows it and the state is corrected.
 #[derive(Debug)]
 pub struct Reconciler {
-    engines: BTreeMap<Server, Track>,
-    settled: Duration,
+    engines: BTreeMap<Server, Engine>,
+    poll_interval: Duration,
     load_interval: Duration,
     next_load: Instant,
 }
 
 impl Reconciler {
-    /// A controller that starts at `now`, reads settled engines every `settled` and orders new
-    /// weights at most once every `load_interval`.
+    /// Creates a reconciler that reads engines in their desired state every `poll_interval` and
+    /// orders new weights at most once per `load_interval`.
     ///
-    /// A holder can't know when the one before it last ordered weights, so it waits a whole
-    /// interval first: the store's limit holds across a change of holder.
+    /// The first weights are ordered after a whole interval, since the previous owner of the pool
+    /// may just have ordered some.
     ///
     /// ```
     /// use std::time::Duration;
@@ -65,17 +65,17 @@
     /// assert!(reconciler.due_steps(now).is_empty());
     /// ```
     #[must_use]
-    pub fn new(now: Instant, settled: Duration, load_interval: Duration) -> Self {
+    pub fn new(now: Instant, poll_interval: Duration, load_interval: Duration) -> Self {
         let next_load = now + load_interval;
         Self {
             engines: BTreeMap::new(),
-            settled,
+            poll_interval,
             load_interval,
             next_load,
         }
     }
 
-    /// Takes up other times; a load that was put off longer than the new interval is moved up.
+    /// Changes the intervals; the next load of weights is at most the new `load_interval` away.
     ///
     /// ```
     /// use std::time::Duration;
@@ -84,13 +84,18 @@
     /// let mut reconciler = Reconciler::new(now, Duration::from_secs(5), Duration::from_secs(60));
     /// reconciler.set_intervals(now, Duration::from_secs(2), Duration::from_secs(6));
     /// ```
-    pub fn set_intervals(&mut self, now: Instant, settled: Duration, load_interval: Duration) {
-        self.settled = settled;
+    pub fn set_intervals(
+        &mut self,
+        now: Instant,
+        poll_interval: Duration,
+        load_interval: Duration,
+    ) {
+        self.poll_interval = poll_interval;
         self.load_interval = load_interval;
         self.next_load = self.next_load.min(now + load_interval);
     }
 
-    /// Sets what each engine should be.
+    /// Sets the desired state of every engine; engines that are not listed are dropped.
     ///
     /// ```
     /// use std::collections::BTreeMap;
@@ -101,23 +106,30 @@
     /// reconciler.set_desired(now, &BTreeMap::from([("e1".parse().unwrap(), State::default())]));
     /// assert_eq!(reconciler.due_steps(now), [("e1".parse().unwrap(), Step::Read)]);
     /// ```
-    pub fn set_desired(&mut self, now: Instant, goals: &BTreeMap<Server, State>) {
-        self.engines.retain(|server, _| goals.contains_key(server));
-        for (server, goal) in goals {
-            let fresh = || Track {
-                goal: goal.clone(),
-                seen: None,
-                next: now,
+    pub fn set_desired(&mut self, now: Instant, desired_states: &BTreeMap<Server, State>) {
+        self.engines
+            .retain(|server, _| desired_states.contains_key(server));
+        for (server, desired) in desired_states {
+            let new_engine = || Engine {
+                desired: desired.clone(),
+                diverged: None,
+                next_step: now,
             };
-            let track = self.engines.entry(server.clone()).or_insert_with(fresh);
-            if track.goal != *goal {
-                track.goal = goal.clone();
-                track.next = now;
+            let engine = self
+                .engines
+                .entry(server.clone())
+                .or_insert_with(new_engine);
+            if engine.desired != *desired {
+                engine.desired = desired.clone();
+                engine.next_step = now;
             }
         }
     }
 
-    /// The steps to take now; each engine is left alone until its step is told of or late.
+    /// Returns the steps to take now, at most one per engine.
+    ///
+    /// An engine with a step in progress gets the next one after its state is reported or the
+    /// retry interval has passed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -126,31 +138,33 @@
     /// assert!(vanillatrail::order::Reconciler::new(now, zero, zero).due_steps(now).is_empty());
     /// ```
     pub fn due_steps(&mut self, now: Instant) -> Vec<(Server, Step)> {
-        let mut due = Vec::new();
-        for (server, track) in &mut self.engines {
-            if track.next > now {
+        let mut steps = Vec::new();
+        for (server, engine) in &mut self.engines {
+            if engine.next_step > now {
                 continue;
             }
-            track.next = now + AGAIN;
-            let step = match track.seen.take() {
-                Some(seen) if seen == track.goal => Step::Read,
-                Some(seen) if seen.weights == track.goal.weights => Step::Order(track.goal.clone()),
-                Some(seen) => {
+            engine.next_step = now + RETRY_INTERVAL;
+            let step = match engine.diverged.take() {
+                Some(state) if state == engine.desired => Step::Read,
+                Some(state) if state.weights == engine.desired.weights => {
+                    Step::Order(engine.desired.clone())
+                }
+                Some(state) => {
                     if self.next_load > now {
-                        track.seen = Some(seen);
+                        engine.diverged = Some(state);
                         continue;
                     }
                     self.next_load = now + self.load_interval;
-                    Step::Order(track.goal.clone())
+                    Step::Order(engine.desired.clone())
                 }
                 None => Step::Read,
             };
-            due.push((server.clone(), step));
+            steps.push((server.clone(), step));
         }
-        due
+        steps
     }
 
-    /// Takes in what an engine says it is.
+    /// Records the state that an engine reported.
     ///
     /// ```
     /// use std::collections::BTreeMap;
@@ -158,25 +172,25 @@
     /// use vanillatrail::order::{Reconciler, State, Step};
     /// let now = tokio::time::Instant::now();
     /// let mut reconciler = Reconciler::new(now, Duration::from_secs(5), Duration::ZERO);
-    /// let goal = State { role: Some("prefill".to_owned()), ..State::default() };
-    /// reconciler.set_desired(now, &BTreeMap::from([("e1".parse().unwrap(), goal.clone())]));
+    /// let desired = State { role: Some("prefill".to_owned()), ..State::default() };
+    /// reconciler.set_desired(now, &BTreeMap::from([("e1".parse().unwrap(), desired.clone())]));
     /// reconciler.due_steps(now);
     /// reconciler.record_state(now, &"e1".parse().unwrap(), State::default());
-    /// assert_eq!(reconciler.due_steps(now), [("e1".parse().unwrap(), Step::Order(goal))]);
+    /// assert_eq!(reconciler.due_steps(now), [("e1".parse().unwrap(), Step::Order(desired))]);
     /// ```
     pub fn record_state(&mut self, now: Instant, server: &Server, state: State) {
-        let Some(track) = self.engines.get_mut(server) else {
+        let Some(engine) = self.engines.get_mut(server) else {
             return;
         };
-        track.next = if state == track.goal {
-            now + self.settled
+        engine.next_step = if state == engine.desired {
+            now + self.poll_interval
         } else {
             now
         };
-        track.seen = Some(state).filter(|state| *state != track.goal);
+        engine.diverged = Some(state).filter(|state| *state != engine.desired);
     }
 
-    /// Engines that are not known to be at their goal.
+    /// Number of engines that reported a state other than the desired one and wait for an order.
     ///
     /// ```
     /// use std::time::Duration;
@@ -188,7 +202,7 @@
     pub fn diverged(&self) -> usize {
         self.engines
             .values()
-            .filter(|track| track.seen.is_some())
+            .filter(|engine| engine.diverged.is_some())
             .count()
     }
 }
