--- a/src/backend/engine.rs
+++ b/src/backend/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines in the published chat-completions shape, with event-stream chunks.
+//! Client of model engines that speak the streaming chat-completions protocol.
 
 use crate::id::{Epoch, Model, Tokens};
 use crate::order;
@@ -14,16 +14,15 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long a connection may take to stand.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Silence of a stream past which the engine counts as stuck.
-const SILENCE: Duration = Duration::from_secs(15);
-/// How long an order, or a reading of the state, may take.
-const ORDER: Duration = Duration::from_millis(1500);
-/// How long an eviction may take.
-const EVICT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest wait for the response head or the next event of a stream.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Timeout of sending an order or reading the state.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Timeout of a cache eviction.
+const EVICTION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why an engine gave no whole answer.
+/// Failure of a request to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct EngineError(pub(crate) String);
 
@@ -39,17 +38,17 @@
     }
 }
 
-/// A model call, whole.
+/// A chat-completions request with the full history.
 #[derive(Debug, Clone)]
 pub(crate) struct Chat {
     pub(crate) model: Model,
     pub(crate) messages: Vec<Message>,
     pub(crate) max_tokens: Tokens,
-    /// Names the cache that the engine keeps for the program.
+    /// Identifies the program's prefix cache on the engine.
     pub(crate) cache_key: String,
 }
 
-/// One chunk of the stream, as far as it is read.
+/// Fields of a stream chunk that are used here.
 #[derive(Debug, Deserialize)]
 struct Chunk {
     #[serde(default)]
@@ -75,16 +74,16 @@
     prompt_tokens: u64,
     completion_tokens: u64,
     #[serde(default)]
-    prompt_tokens_details: Details,
+    prompt_tokens_details: PromptDetails,
 }
 
 #[derive(Debug, Default, Deserialize)]
-struct Details {
+struct PromptDetails {
     #[serde(default)]
     cached_tokens: u64,
 }
 
-/// A client of every engine.
+/// HTTP client for all engines.
 #[derive(Debug, Clone)]
 pub(crate) struct Engines {
     client: reqwest::Client,
@@ -93,20 +92,21 @@
 impl Engines {
     pub(crate) fn new() -> Self {
         let client = reqwest::Client::builder()
-            .connect_timeout(CONNECT)
+            .connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true)
             .retry(reqwest::retry::never())
             .build()
-            .expect("a client without TLS can be built");
+            .expect("building an HTTP client without TLS does not fail");
         Self { client }
     }
 
-    /// Streams an answer; `take` gets each part. Dropping the future cancels the stream.
+    /// Streams a completion and passes each text chunk to `on_chunk`. Dropping the future cancels
+    /// the stream.
     pub(crate) async fn complete(
         &self,
         address: SocketAddr,
         chat: &Chat,
-        mut take: impl FnMut(Arc<str>),
+        mut on_chunk: impl FnMut(Arc<str>),
     ) -> Result<Usage, EngineError> {
         let body = json!({
             "model": chat.model,
@@ -118,16 +118,20 @@
         });
         let url = format!("http://{address}/v1/chat/completions");
         let sending = self.client.post(url).json(&body).send();
-        let reply = timeout(SILENCE, sending).await.map_err(|_| silent())??;
-        let reply = reply.error_for_status()?;
-        let mut events = pin!(reply.bytes_stream().eventsource());
-        let mut parts = 0;
+        let response = timeout(STREAM_IDLE_TIMEOUT, sending)
+            .await
+            .map_err(|_| stream_idle())??;
+        let response = response.error_for_status()?;
+        let mut events = pin!(response.bytes_stream().eventsource());
+        let mut chunks = 0;
         loop {
-            let event = timeout(SILENCE, events.next())
+            let event = timeout(STREAM_IDLE_TIMEOUT, events.next())
                 .await
-                .map_err(|_| silent())?;
+                .map_err(|_| stream_idle())?;
             let Some(event) = event else {
-                return Err(EngineError("the stream was cut before its end".to_owned()));
+                return Err(EngineError(
+                    "the stream ended without a usage report".to_owned(),
+                ));
             };
             let event = event.map_err(|error| EngineError(error.to_string()))?;
             let chunk: Chunk = serde_json::from_str(&event.data)
@@ -146,57 +150,64 @@
             let Some(text) = text.filter(|text| !text.is_empty()) else {
                 continue;
             };
-            // An engine that goes on past the bound is cut off here: its caller has a budget.
-            if parts >= chat.max_tokens.0 {
-                return Ok(counted(chat, parts));
+            // Stop an engine that exceeds `max_tokens`, to protect the program's budget.
+            if chunks >= chat.max_tokens.0 {
+                return Ok(estimated_usage(chat, chunks));
             }
-            parts += 1;
-            take(text.into());
+            chunks += 1;
+            on_chunk(text.into());
         }
     }
 
-    /// What an engine says it is.
-    pub(crate) async fn state(&self, address: SocketAddr) -> Result<order::State, EngineError> {
+    /// Reads the state that an engine reports.
+    pub(crate) async fn read_state(
+        &self,
+        address: SocketAddr,
+    ) -> Result<order::State, EngineError> {
         let request = self
             .client
             .get(format!("http://{address}/v1/state"))
-            .timeout(ORDER);
+            .timeout(ORDER_TIMEOUT);
         Ok(request.send().await?.error_for_status()?.json().await?)
     }
 
-    /// Orders an engine to become `goal`, under the fencing number `fence`.
-    pub(crate) async fn order(
+    /// Orders an engine to change to the `desired` state, with `epoch` as the fencing token.
+    pub(crate) async fn send_order(
         &self,
         address: SocketAddr,
-        fence: Epoch,
-        goal: &order::State,
+        epoch: Epoch,
+        desired: &order::State,
     ) -> Result<(), EngineError> {
-        let body = json!({ "fence": fence, "goal": goal });
+        let body = json!({ "fence": epoch, "goal": desired });
         let url = format!("http://{address}/v1/orders");
-        let request = self.client.post(url).json(&body).timeout(ORDER);
+        let request = self.client.post(url).json(&body).timeout(ORDER_TIMEOUT);
         request.send().await?.error_for_status()?;
         Ok(())
     }
 
-    /// Asks an engine to drop the cache of a program.
-    pub(crate) async fn evict(&self, address: SocketAddr, key: &str) -> Result<(), EngineError> {
+    /// Asks an engine to evict a program's prefix cache.
+    pub(crate) async fn evict(
+        &self,
+        address: SocketAddr,
+        cache_key: &str,
+    ) -> Result<(), EngineError> {
         let url = format!("http://{address}/v1/cache/evict");
         let request = self
             .client
             .post(url)
-            .json(&json!({ "key": key }))
-            .timeout(EVICT);
+            .json(&json!({ "key": cache_key }))
+            .timeout(EVICTION_TIMEOUT);
         request.send().await?.error_for_status()?;
         Ok(())
     }
 }
 
-fn silent() -> EngineError {
-    EngineError(format!("no token for {SILENCE:?}"))
+fn stream_idle() -> EngineError {
+    EngineError(format!("no token for {STREAM_IDLE_TIMEOUT:?}"))
 }
 
-/// The usage of a stream that was cut at its bound, when the engine has not told it.
-fn counted(chat: &Chat, parts: u64) -> Usage {
+/// Estimates the usage of a stream that was stopped before the engine reported it.
+fn estimated_usage(chat: &Chat, chunks: u64) -> Usage {
     let bytes: usize = chat
         .messages
         .iter()
@@ -205,6 +216,6 @@
     Usage {
         prompt: Tokens(bytes as u64 / 4),
         cached: Tokens(0),
-        completion: Tokens(parts),
+        completion: Tokens(chunks),
     }
 }
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! Model engines and plain services, met by their published protocols.
+//! Clients of model engines and plain services.
 
 mod engine;
 mod service;
--- a/src/backend/service.rs
+++ b/src/backend/service.rs
@@ -1,20 +1,19 @@
-//! Plain services: one JSON request per call.
+//! Client of plain services: one JSON request per call.
 
 use crate::program::Invocation;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a connection may take to stand.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A service's reply.
+/// Response of a service; any status below 500.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) body: String,
 }
 
-/// A call without a reply that tells its outcome.
+/// Failed call whose outcome is not known from a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ServiceError {
     /// Whether any of the request may have reached the service.
@@ -22,35 +21,35 @@
     pub(crate) reason: String,
 }
 
-/// A client of every service.
+/// HTTP client for all services.
 #[derive(Debug, Clone)]
 pub(crate) struct Services {
     client: reqwest::Client,
 }
 
 impl Services {
-    /// A client that sends each request on a fresh connection and never again.
+    /// Creates a client that opens a connection per request and never retries.
     ///
-    /// A kept connection may be dead without notice; a client that then retries would send a call
-    /// twice that must not be repeated.
+    /// An idle connection may be dead without notice, and a retry could repeat a call that must
+    /// not be repeated.
     pub(crate) fn new() -> Self {
         let client = reqwest::Client::builder()
-            .connect_timeout(CONNECT)
+            .connect_timeout(CONNECT_TIMEOUT)
             .pool_max_idle_per_host(0)
             .tcp_nodelay(true)
             .retry(reqwest::retry::never())
             .redirect(reqwest::redirect::Policy::none())
             .build()
-            .expect("a client without TLS can be built");
+            .expect("building an HTTP client without TLS does not fail");
         Self { client }
     }
 
-    /// Sends a call once.
+    /// Sends a call once, with an idempotency key for the service.
     pub(crate) async fn call(
         &self,
         address: SocketAddr,
         invocation: &Invocation,
-        key: &str,
+        idempotency_key: &str,
         timeout: Duration,
     ) -> Result<Reply, ServiceError> {
         let url = format!("http://{address}/operations/{}", invocation.operation);
@@ -58,23 +57,23 @@
             .client
             .post(url)
             .timeout(timeout)
-            .header("idempotency-key", key)
+            .header("idempotency-key", idempotency_key)
             .header("content-type", "application/json")
             .body(invocation.body.get().to_owned());
-        let broken = |error: &reqwest::Error| ServiceError {
+        let failed = |error: &reqwest::Error| ServiceError {
             maybe_sent: !error.is_connect() && !error.is_builder(),
             reason: error.to_string(),
         };
-        let reply = request.send().await.map_err(|error| broken(&error))?;
-        let status = reply.status();
-        // A server fault may come from in front of the service or from behind the effect.
+        let response = request.send().await.map_err(|error| failed(&error))?;
+        let status = response.status();
+        // A 5xx may come from a proxy before the call ran, or from the service after it took effect.
         if status.is_server_error() {
             return Err(ServiceError {
                 maybe_sent: true,
-                reason: format!("the service gave {status}"),
+                reason: format!("the service returned {status}"),
             });
         }
-        let body = reply.text().await.map_err(|error| broken(&error))?;
+        let body = response.text().await.map_err(|error| failed(&error))?;
         Ok(Reply {
             status: status.as_u16(),
             body,
--- a/src/dispatch/client.rs
+++ b/src/dispatch/client.rs
@@ -1,4 +1,4 @@
-//! How an owner gets a permit from the VM that holds the queue of a pool.
+//! Acquires permits from the VM that dispatches a pool.
 
 use super::duty::{Command, unavailable};
 use super::{Grant, Key};
@@ -13,10 +13,10 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::sleep;
 
-/// The pause before a lost dispatcher is looked up again.
-const RETRY: Duration = Duration::from_millis(100);
+/// Delay before the dispatcher is looked up again after a lost connection.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Asks the VM that holds the queue, wherever it is.
+/// Acquires permits from the dispatcher of a pool, on this VM or another.
 #[derive(Debug, Clone)]
 pub(crate) struct Client {
     pub(crate) vm: Vm,
@@ -25,85 +25,85 @@
     pub(crate) connections: peer::Links,
 }
 
-/// A permit in use. Dropped without [`Lease::finish`], it is given back.
+/// A granted permit. Returned as unused if dropped without [`Lease::finish`].
 #[derive(Debug)]
 pub(crate) struct Lease {
     pub(crate) grant: Grant,
     key: Key,
-    hold: Option<Hold>,
+    /// Where to return the permit; `None` once it was returned.
+    issuer: Option<Issuer>,
 }
 
 #[derive(Debug)]
-enum Hold {
+enum Issuer {
     Local(flume::Sender<Command>),
-    // The dispatcher takes the permit back when this subscription ends, so a VM that dies holds
-    // no window.
+    // The end of this subscription returns the permit, also if this VM dies.
     Remote(peer::Links, SocketAddr, peer::PermitStream),
 }
 
 impl Client {
-    /// Waits for a permit. The caller bounds the wait by dropping the future.
-    pub(crate) async fn acquire(&self, key: &Key, ask: &Request) -> Result<Lease, Failure> {
+    /// Waits for a permit without a time limit; dropping the future cancels the request.
+    pub(crate) async fn acquire(&self, key: &Key, request: &Request) -> Result<Lease, Failure> {
         loop {
-            let first = self
+            let dispatcher = self
                 .view
                 .borrow()
                 .first(&format!("dispatch/{key}"))
                 .cloned();
-            match first {
+            match dispatcher {
                 Some(member) if member.vm != self.vm => {
-                    match self.connections.permit(member.address, key, ask).await {
+                    match self.connections.permit(member.address, key, request).await {
                         Ok((grant, stream)) => {
-                            let links = self.connections.clone();
-                            let hold = Some(Hold::Remote(links, member.address, stream));
+                            let connections = self.connections.clone();
+                            let issuer = Some(Issuer::Remote(connections, member.address, stream));
                             return Ok(Lease {
                                 grant: grant?,
                                 key: key.clone(),
-                                hold,
+                                issuer,
                             });
                         }
-                        Err(peer::Lost) => sleep(RETRY).await,
+                        Err(peer::Lost) => sleep(RETRY_DELAY).await,
                     }
                 }
-                _ => return self.acquire_here(key, ask).await,
+                _ => return self.acquire_local(key, request).await,
             }
         }
     }
 
-    async fn acquire_here(&self, key: &Key, ask: &Request) -> Result<Lease, Failure> {
-        let (reply, wait) = oneshot::channel();
+    async fn acquire_local(&self, key: &Key, request: &Request) -> Result<Lease, Failure> {
+        let (reply, receiver) = oneshot::channel();
         let command = Command::Acquire {
             key: key.clone(),
-            request: Box::new(ask.clone()),
+            request: Box::new(request.clone()),
             reply,
         };
         self.dispatcher
             .try_send(command)
             .map_err(|_| unavailable())?;
-        let grant = wait.await.map_err(|_| unavailable())??;
+        let grant = receiver.await.map_err(|_| unavailable())??;
         Ok(Lease {
             grant,
             key: key.clone(),
-            hold: Some(Hold::Local(self.dispatcher.clone())),
+            issuer: Some(Issuer::Local(self.dispatcher.clone())),
         })
     }
 }
 
 impl Lease {
-    /// Gives the permit back and tells how the call went.
+    /// Returns the permit and reports the outcome of the call.
     pub(crate) async fn finish(mut self, outcome: Outcome) {
         let (key, permit) = (self.key.clone(), self.grant.permit);
-        match self.hold.take() {
-            Some(Hold::Local(local)) => {
+        match self.issuer.take() {
+            Some(Issuer::Local(dispatcher)) => {
                 let command = Command::Finish {
                     key,
                     permit,
                     outcome: Some(outcome),
                 };
-                let _ = local.send_async(command).await;
+                let _ = dispatcher.send_async(command).await;
             }
-            Some(Hold::Remote(links, address, stream)) => {
-                let _ = links.done(address, &key, permit, &outcome).await;
+            Some(Issuer::Remote(connections, address, stream)) => {
+                let _ = connections.done(address, &key, permit, &outcome).await;
                 drop(stream);
             }
             None => {}
@@ -113,9 +113,9 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        if let Some(Hold::Local(local)) = self.hold.take() {
+        if let Some(Issuer::Local(dispatcher)) = self.issuer.take() {
             let (key, permit) = (self.key.clone(), self.grant.permit);
-            let _ = local.try_send(Command::Finish {
+            let _ = dispatcher.try_send(Command::Finish {
                 key,
                 permit,
                 outcome: None,
--- a/src/dispatch/duty.rs
+++ b/src/dispatch/duty.rs
@@ -1,4 +1,4 @@
-//! The dispatch thread: drives the pools whose queue this VM holds.
+//! Dispatch thread: queues calls and issues permits for the pools that this VM dispatches.
 
 use super::{Grant, Key, report};
 use crate::code::{Code, Failure};
@@ -17,42 +17,45 @@
 use tokio::time::{Instant, interval};
 use tokio_util::sync::CancellationToken;
 
-/// Time between looks at callers that have gone and servers that have rested.
-const TICK: Duration = Duration::from_millis(50);
+/// Time between checks for cancelled requests and for servers that can be used again.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the owner, here or on another VM, asks of the dispatcher.
+/// Commands of shard owners, on this VM or another, and of operators.
 #[derive(Debug)]
 pub(crate) enum Command {
-    /// A call waits for a server.
+    /// Requests a permit; the reply is sent when it is granted or refused.
     Acquire {
         key: Key,
         request: Box<Request>,
         reply: oneshot::Sender<Result<Grant, Failure>>,
     },
-    /// A call is over, or its permit is given back unused.
+    /// Returns a permit; `outcome` is `None` if it was not used.
     Finish {
         key: Key,
         permit: Permit,
         outcome: Option<Outcome>,
     },
-    /// The state, for an operator.
+    /// Requests the state of all queues, for operators.
     Dump(oneshot::Sender<serde_json::Value>),
 }
 
+/// Queue of one pool.
 #[derive(Default)]
 struct Queue {
     pool: Pool,
     servers: Vec<Engine>,
     rates: Rates,
+    /// Reply channels of the waiting requests.
     replies: BTreeMap<Permit, oneshot::Sender<Result<Grant, Failure>>>,
 }
 
 impl Queue {
-    fn carry_out(&mut self, now: Instant, actions: Vec<Action>) {
+    /// Executes the actions that the pool decided on.
+    fn execute(&mut self, now: Instant, actions: Vec<Action>) {
         let mut actions = std::collections::VecDeque::from(actions);
         while let Some(action) = actions.pop_front() {
             match action {
-                // Not asked for: the engines' adapter cannot export yet.
+                // The engine client does not support exporting caches.
                 Action::Export(..) => {}
                 Action::Refuse(permit, failure) => {
                     if let Some(reply) = self.replies.remove(&permit) {
@@ -60,9 +63,9 @@
                     }
                 }
                 Action::Grant(permit, server) => {
-                    let found = self.servers.iter().find(|engine| engine.name == server);
+                    let engine = self.servers.iter().find(|engine| engine.name == server);
                     let sent =
-                        found
+                        engine
                             .zip(self.replies.remove(&permit))
                             .is_some_and(|(engine, reply)| {
                                 let address = engine.address;
@@ -83,20 +86,23 @@
         }
     }
 
-    fn configure(&mut self, key: &Key, snapshot: &Snapshot, view: &View) {
+    fn set_servers(&mut self, key: &Key, snapshot: &Snapshot, view: &View) {
         let servers = match key {
             Key::Model(model) => snapshot.pools.get(model).map(|pool| &pool.engines),
-            Key::Service(service) => snapshot.services.get(service).map(|found| &found.servers),
+            Key::Service(service) => snapshot
+                .services
+                .get(service)
+                .map(|service| &service.servers),
         };
         self.servers = servers.cloned().unwrap_or_default();
-        // A server that is leaving gets nothing new; the calls that run on it are left to end.
+        // A draining server gets no new calls; its running calls may finish.
         let names = self.servers.iter().map(|engine| engine.name.clone());
         let names: Vec<_> = names.filter(|name| !view.leaving.contains(name)).collect();
         self.pool.set_servers(&names);
         self.rates = self.pool.rates();
     }
 
-    /// Drops the calls whose owner has gone, and grants what can be granted.
+    /// Drops requests whose receiver was closed, and issues the permits that are possible now.
     fn tick(&mut self, now: Instant) {
         self.rates = self.pool.rates();
         let closed = self.replies.iter().filter(|(_, reply)| reply.is_closed());
@@ -104,29 +110,29 @@
         for permit in closed {
             self.replies.remove(&permit);
             let actions = self.pool.finish(now, permit, None);
-            self.carry_out(now, actions);
+            self.execute(now, actions);
         }
         let actions = self.pool.grant(now);
-        self.carry_out(now, actions);
+        self.execute(now, actions);
     }
 }
 
-/// What the dispatch thread works with.
+/// Dependencies of the dispatch thread.
 #[derive(Debug, Clone)]
 pub(crate) struct Context {
     pub(crate) commands: flume::Receiver<Command>,
     pub(crate) config: watch::Receiver<Arc<Snapshot>>,
     pub(crate) view: watch::Receiver<Arc<View>>,
-    /// Takes the servers that say they are leaving, so that every VM learns of them.
+    /// Receives the servers that report draining, to be announced to all members.
     pub(crate) draining: flume::Sender<Server>,
     pub(crate) stop: CancellationToken,
 }
 
-/// Serves permits until the token is cancelled.
+/// Processes commands until the token is cancelled.
 pub(crate) async fn run(context: Context) {
-    let mut desk = Desk::default();
-    spawn_local(report::follow(
-        desk.reported.clone(),
+    let mut dispatcher = Dispatcher::default();
+    spawn_local(report::poll(
+        dispatcher.polled_servers.clone(),
         context.draining.clone(),
     ));
     let Context {
@@ -136,44 +142,44 @@
         stop,
         ..
     } = context;
-    let mut tick = interval(TICK);
+    let mut tick = interval(TICK_INTERVAL);
     loop {
         tokio::select! {
             command = commands.recv_async() => match command {
-                Ok(command) => desk.take(command),
+                Ok(command) => dispatcher.handle(command),
                 Err(_) => return,
             },
-            _ = tick.tick() => desk.tick(),
+            _ = tick.tick() => dispatcher.tick(),
             changed = config.changed() => {
                 if changed.is_err() {
                     return;
                 }
-                desk.config = config.borrow_and_update().clone();
-                desk.configure();
+                dispatcher.config = config.borrow_and_update().clone();
+                dispatcher.update_servers();
             }
             changed = view.changed() => {
                 if changed.is_err() {
                     return;
                 }
-                desk.view = view.borrow_and_update().clone();
-                desk.configure();
+                dispatcher.view = view.borrow_and_update().clone();
+                dispatcher.update_servers();
             }
             () = stop.cancelled() => return,
         }
     }
 }
 
-/// The queues of this VM, and what they are configured by.
+/// Queues of all pools that this VM dispatches.
 #[derive(Default)]
-struct Desk {
+struct Dispatcher {
     queues: BTreeMap<Key, Queue>,
-    last: u64,
+    last_permit: u64,
     config: Arc<Snapshot>,
     view: Arc<View>,
-    reported: report::Servers,
+    polled_servers: report::Servers,
 }
 
-impl Desk {
+impl Dispatcher {
     fn tick(&mut self) {
         let now = Instant::now();
         for queue in self.queues.values_mut() {
@@ -181,17 +187,18 @@
         }
     }
 
-    fn configure(&mut self) {
+    /// Updates the servers of all queues from the configuration and the view.
+    fn update_servers(&mut self) {
         for (key, queue) in &mut self.queues {
-            queue.configure(key, &self.config, &self.view);
+            queue.set_servers(key, &self.config, &self.view);
         }
         let servers = self.queues.values().flat_map(|queue| &queue.servers);
-        *self.reported.borrow_mut() = servers
+        *self.polled_servers.borrow_mut() = servers
             .map(|engine| (engine.name.clone(), engine.address))
             .collect();
     }
 
-    fn take(&mut self, command: Command) {
+    fn handle(&mut self, command: Command) {
         let now = Instant::now();
         match command {
             Command::Acquire {
@@ -201,14 +208,14 @@
             } => {
                 if !self.queues.contains_key(&key) {
                     self.queues.insert(key.clone(), Queue::default());
-                    self.configure();
+                    self.update_servers();
                 }
-                self.last += 1;
-                let permit = Permit(self.last);
+                self.last_permit += 1;
+                let permit = Permit(self.last_permit);
                 let queue = self.queues.entry(key).or_default();
                 queue.replies.insert(permit, reply);
                 let actions = queue.pool.request(now, permit, *request);
-                queue.carry_out(now, actions);
+                queue.execute(now, actions);
             }
             Command::Finish {
                 key,
@@ -222,7 +229,7 @@
                     event!(warn, "call_failed", pool = key, permit = permit);
                 }
                 let actions = queue.pool.finish(now, permit, outcome.as_ref());
-                queue.carry_out(now, actions);
+                queue.execute(now, actions);
             }
             Command::Dump(reply) => {
                 let _ = reply.send(self.dump());
@@ -242,8 +249,8 @@
     }
 }
 
-/// The failure when the dispatch thread does not answer.
+/// Failure for a dispatch thread that cannot be reached.
 pub(crate) fn unavailable() -> Failure {
-    Failure::refused(Code::RingFull, "the dispatcher does not answer")
+    Failure::refused(Code::RingFull, "the dispatcher does not respond")
         .retry_after(Duration::from_millis(500))
 }
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! Permits: one VM holds the queue and the windows of each pool of backend servers.
+//! Dispatch of calls to backend servers. One VM per pool queues the calls and issues permits.
 
 mod client;
 mod duty;
@@ -13,13 +13,13 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A pool of backend servers that share one queue.
+/// Identifies a pool of backend servers that share one queue.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Key {
-    /// The engines of a model.
+    /// Engines of a model.
     Model(Model),
-    /// The servers of a plain service.
+    /// Servers of a plain service.
     Service(Service),
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Leave to send one call.
+/// Permit to send one call, and the backend server to send it to.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Grant {
--- a/src/dispatch/report.rs
+++ b/src/dispatch/report.rs
@@ -1,4 +1,4 @@
-//! Reads the load reports of backend servers, for those that say they are leaving.
+//! Polls the load reports of backend servers to learn which are draining.
 
 use crate::id::Server;
 use crate::telemetry::event;
@@ -11,47 +11,48 @@
 use tokio::task::spawn_local;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Time between two readings of one server.
-const PERIOD: Duration = Duration::from_secs(1);
-/// How long a reading may take.
-const TIMEOUT: Duration = Duration::from_millis(900);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The servers to read, by name; the dispatch thread keeps it up to date.
+/// Addresses of the polled servers; updated by the dispatch thread.
 pub(super) type Servers = Rc<RefCell<BTreeMap<Server, SocketAddr>>>;
 
-/// What a server says of itself, as far as it is read.
+/// Fields of a load report that are used here.
 #[derive(Debug, Deserialize)]
 struct Report {
-    #[serde(default)]
-    leaving: bool,
+    #[serde(default, rename = "leaving")]
+    draining: bool,
 }
 
-/// Reads every server again and again and tells of those that are leaving.
-pub(super) async fn follow(servers: Servers, leaving: flume::Sender<Server>) {
+/// Polls all servers and sends the names of those that report draining.
+pub(super) async fn poll(servers: Servers, draining: flume::Sender<Server>) {
     let client = reqwest::Client::builder()
-        .timeout(TIMEOUT)
+        .timeout(REQUEST_TIMEOUT)
         .build()
-        .expect("a client without TLS can be built");
-    let mut tick = interval(PERIOD);
+        .expect("building an HTTP client without TLS does not fail");
+    let mut tick = interval(POLL_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tick.tick().await;
         for (server, address) in servers.borrow().clone() {
-            let (client, leaving) = (client.clone(), leaving.clone());
+            let (client, draining) = (client.clone(), draining.clone());
             spawn_local(async move {
-                match read(&client, address).await {
-                    Ok(report) if report.leaving => {
-                        let _ = leaving.try_send(server);
+                match read_report(&client, address).await {
+                    Ok(report) if report.draining => {
+                        let _ = draining.try_send(server);
                     }
                     Ok(_) => {}
-                    Err(fault) => event!(debug, "report_unread", server = server, reason = fault),
+                    Err(error) => event!(debug, "report_unread", server = server, reason = error),
                 }
             });
         }
     }
 }
 
-async fn read(client: &reqwest::Client, address: SocketAddr) -> Result<Report, reqwest::Error> {
-    let reply = client.get(format!("http://{address}/load")).send().await?;
-    reply.error_for_status()?.json().await
+async fn read_report(
+    client: &reqwest::Client,
+    address: SocketAddr,
+) -> Result<Report, reqwest::Error> {
+    let response = client.get(format!("http://{address}/load")).send().await?;
+    response.error_for_status()?.json().await
 }
