--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -1,4 +1,4 @@
-//! The interface to callers, over HTTP.
+//! HTTP API for callers.
 
 use super::router::Router;
 use crate::code::{Code, Failure};
@@ -19,18 +19,18 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// How long a request waits for its final answer when it does not say.
-const WAIT: Duration = Duration::from_mins(1);
-/// The longest that a request may wait.
-const LONGEST: Duration = Duration::from_mins(10);
-/// How long a body may take to arrive.
-const BODY: Duration = Duration::from_secs(10);
+/// Timeout of requests that set no `timeout_ms`.
+const DEFAULT_TIMEOUT: Duration = Duration::from_mins(1);
+/// Upper bound on `timeout_ms`.
+const MAX_TIMEOUT: Duration = Duration::from_mins(10);
+/// Timeout of receiving a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The largest number of tokens or calls that a caller may name. Sums of such numbers stay far from
-/// the end of their type, where they would wrap to a small number and let a budget be passed.
-const MOST: u64 = 1 << 40;
+/// Largest number of tokens or calls that a caller may pass. Sums of such numbers cannot overflow
+/// and thereby bypass a budget.
+const MAX_BUDGET_VALUE: u64 = 1 << 40;
 
-/// What the handlers work with.
+/// Shared state of the HTTP handlers.
 #[derive(Debug, Clone)]
 pub(crate) struct Context {
     pub(crate) router: Router,
@@ -41,18 +41,18 @@
 
 pub(crate) fn routes(context: Context) -> impl IntoEndpoint<Endpoint: 'static> {
     Route::new()
-        .at("/v1/programs", post(open))
-        .at("/v1/programs/:program", poem::get(look))
+        .at("/v1/programs", post(open_program))
+        .at("/v1/programs/:program", poem::get(program_state))
         .at("/v1/programs/:program/calls", post(make_call))
-        .at("/v1/programs/:program/calls/:call", poem::get(read))
-        .at("/v1/programs/:program/end", post(end))
-        .at("/v1/services/:service/:operation", post(plain))
+        .at("/v1/programs/:program/calls/:call", poem::get(read_call))
+        .at("/v1/programs/:program/end", post(end_program))
+        .at("/v1/services/:service/:operation", post(plain_call))
         .data(context)
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Open {
+struct OpenBody {
     class: id::Class,
     key: String,
     budget: Budget,
@@ -60,7 +60,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Numbered {
+struct CallBody {
     call: Call,
     #[serde(default)]
     model: Option<program::Prompt>,
@@ -73,10 +73,11 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Rest {
+struct ReadQuery {
+    /// Number of chunks that the caller already has.
     #[serde(default)]
     from: u64,
-    /// The stream of which the caller has that many parts.
+    /// Stream (attempt) that these chunks belong to.
     #[serde(default)]
     stream: u32,
     #[serde(default)]
@@ -84,24 +85,24 @@
 }
 
 #[handler]
-async fn open(context: Data<&Context>, body: Body) -> Response {
-    let opened = async {
-        let open: Open = parse(&context, body).await?;
+async fn open_program(context: Data<&Context>, body: Body) -> Response {
+    let request = async {
+        let open: OpenBody = parse_body(&context, body).await?;
         if open.key.is_empty() || open.key.len() > 256 {
             return Err(Failure::refused(
                 Code::BadBody,
-                "at `key`: not of 1 to 256 bytes",
+                "at `key`: must have 1 to 256 bytes",
             ));
         }
         check_budget("budget", open.budget)?;
-        ready(&context)?;
+        check_admission(&context)?;
         Ok(Request::Open {
             key: open.key,
             class: open.class,
             budget: open.budget,
         })
     };
-    answer(&context, opened.await, None).await
+    respond(&context, request.await, None).await
 }
 
 #[handler]
@@ -111,14 +112,14 @@
     request: &poem::Request,
     body: Body,
 ) -> Response {
-    let mut wait = None;
-    let asked = async {
-        let program = parameter::<Program>(&program)?;
-        let numbered: Numbered = parse(&context, body).await?;
-        wait = numbered.timeout_ms;
-        let request = match (numbered.model, numbered.service, numbered.spawn) {
+    let mut timeout_ms = None;
+    let owner_request = async {
+        let program = parse_parameter::<Program>(&program)?;
+        let call_body: CallBody = parse_body(&context, body).await?;
+        timeout_ms = call_body.timeout_ms;
+        let request = match (call_body.model, call_body.service, call_body.spawn) {
             (Some(model), None, None) => {
-                check("model.max_tokens", model.max_tokens.0)?;
+                check_limit("model.max_tokens", model.max_tokens.0)?;
                 program::Request::Model(model)
             }
             (None, Some(service), None) => program::Request::Service(service),
@@ -127,110 +128,116 @@
                 program::Request::Spawn(spawn)
             }
             _ => {
-                let message = "exactly one of `model`, `service` and `spawn` is needed";
+                let message = "exactly one of `model`, `service` and `spawn` is required";
                 return Err(Failure::refused(Code::BadBody, message));
             }
         };
         Ok(Request::Call {
             program,
-            call: numbered.call,
+            call: call_body.call,
             request,
             from: Position::default(),
         })
     };
-    let asked = asked.await;
-    if wants_stream(request) {
-        return stream(&context, asked, wait);
+    let owner_request = owner_request.await;
+    if accepts_stream(request) {
+        return respond_stream(&context, owner_request, timeout_ms);
     }
-    answer(&context, asked, wait).await
+    respond(&context, owner_request, timeout_ms).await
 }
 
 #[handler]
-async fn read(
+async fn read_call(
     context: Data<&Context>,
     Path((program, call)): Path<(String, String)>,
-    Query(rest): Query<Rest>,
+    Query(query): Query<ReadQuery>,
     request: &poem::Request,
 ) -> Response {
-    let asked = parameter::<Program>(&program).and_then(|program| {
-        let call = parameter::<Call>(&call)?;
+    let owner_request = parse_parameter::<Program>(&program).and_then(|program| {
+        let call = parse_parameter::<Call>(&call)?;
         Ok(Request::Read {
             program,
             call,
             from: Position {
-                stream: rest.stream,
-                at: rest.from,
+                stream: query.stream,
+                at: query.from,
             },
         })
     });
-    if wants_stream(request) {
-        return stream(&context, asked, rest.timeout_ms);
+    if accepts_stream(request) {
+        return respond_stream(&context, owner_request, query.timeout_ms);
     }
-    answer(&context, asked, rest.timeout_ms).await
+    respond(&context, owner_request, query.timeout_ms).await
 }
 
 #[handler]
-async fn end(context: Data<&Context>, Path(program): Path<String>) -> Response {
-    let asked = parameter::<Program>(&program).map(|program| Request::End { program });
-    answer(&context, asked, None).await
+async fn end_program(context: Data<&Context>, Path(program): Path<String>) -> Response {
+    let request = parse_parameter::<Program>(&program).map(|program| Request::End { program });
+    respond(&context, request, None).await
 }
 
 #[handler]
-async fn look(context: Data<&Context>, Path(program): Path<String>) -> Response {
-    let asked = parameter::<Program>(&program).map(|program| Request::Look { program });
-    answer(&context, asked, None).await
+async fn program_state(context: Data<&Context>, Path(program): Path<String>) -> Response {
+    let request = parse_parameter::<Program>(&program).map(|program| Request::Look { program });
+    respond(&context, request, None).await
 }
 
-/// One call of a plain service: a program of one call, opened by its idempotency key.
+/// Calls a plain service outside a program. Internally this is a program with one call, opened
+/// with the idempotency key.
 #[handler]
-async fn plain(
+async fn plain_call(
     context: Data<&Context>,
     Path((service, operation)): Path<(String, String)>,
     request: &poem::Request,
     body: Body,
 ) -> Response {
     let key = request.header("idempotency-key").map(str::to_owned);
-    let answered = plain_call(&context, &service, &operation, key, body).await;
-    reply(&context, answered)
+    let result = run_plain_call(&context, &service, &operation, key, body).await;
+    json_response(&context, result)
 }
 
-async fn plain_call(
+async fn run_plain_call(
     context: &Context,
     service: &str,
     operation: &str,
     key: Option<String>,
     body: Body,
 ) -> Result<serde_json::Value, Failure> {
-    let service = parameter::<Service>(service)?;
-    let operation = parameter::<Operation>(operation)?;
-    let body: Box<RawValue> = parse(context, body).await?;
+    let service = parse_parameter::<Service>(service)?;
+    let operation = parse_parameter::<Operation>(operation)?;
+    let body: Box<RawValue> = parse_body(context, body).await?;
     let key = key
         .filter(|key| !key.is_empty() && key.len() <= 200)
         .ok_or_else(|| {
-            let message = "the header `idempotency-key` of 1 to 200 bytes is needed";
+            let message = "an `idempotency-key` header with 1 to 200 bytes is required";
             Failure::refused(Code::BadBody, message)
         })?;
-    ready(context)?;
+    check_admission(context)?;
     let class = {
         let config = context.config.borrow();
         config.operation(&service, &operation)?;
-        // A plain call has no target of its own; the tightest class is the closest guess.
-        let tightest = config
+        // Plain calls have no class; use the one with the shortest target time.
+        let most_urgent = config
             .classes
             .iter()
             .min_by_key(|(_, class)| class.target_ms);
-        tightest
-            .map(|(name, _)| name.clone())
-            .ok_or_else(|| Failure::refused(Code::UnknownClass, "the configuration has no class"))?
+        most_urgent.map(|(name, _)| name.clone()).ok_or_else(|| {
+            Failure::refused(Code::UnknownClass, "the configuration has no classes")
+        })?
     };
     let key = format!("plain/{service}/{operation}/{key}");
     let budget = Budget {
         tokens: id::Tokens(0),
         calls: Some(1),
     };
-    let opened = last(context, Request::Open { key, class, budget }, WAIT).await?;
+    let opened = final_answer(
+        context,
+        Request::Open { key, class, budget },
+        DEFAULT_TIMEOUT,
+    )
+    .await?;
     let program = opened["program"].as_str().unwrap_or_default();
-    let program = parameter::<Program>(program)?;
+    let program = parse_parameter::<Program>(program)?;
     let request = program::Request::Service(Invocation {
         service,
         operation,
@@ -242,14 +249,15 @@
         request,
         from: Position::default(),
     };
-    let answered = last(context, call, WAIT).await;
-    if answered.is_ok() {
-        let _ = last(context, Request::End { program }, WAIT).await;
+    let result = final_answer(context, call, DEFAULT_TIMEOUT).await;
+    if result.is_ok() {
+        let _ = final_answer(context, Request::End { program }, DEFAULT_TIMEOUT).await;
     }
-    answered
+    result
 }
 
-fn ready(context: &Context) -> Result<(), Failure> {
+/// Fails if the configuration does not allow programs to be admitted.
+fn check_admission(context: &Context) -> Result<(), Failure> {
     let config = context.config.borrow();
     if config.admits() {
         return Ok(());
@@ -258,36 +266,36 @@
     Err(failure.retry_after(Duration::from_secs(1)))
 }
 
-fn parameter<T: std::str::FromStr<Err = id::Malformed>>(text: &str) -> Result<T, Failure> {
+fn parse_parameter<T: std::str::FromStr<Err = id::Malformed>>(text: &str) -> Result<T, Failure> {
     text.parse()
         .map_err(|error: id::Malformed| Failure::refused(Code::BadBody, error.to_string()))
 }
 
 fn check_budget(path: &str, budget: Budget) -> Result<(), Failure> {
-    check(&format!("{path}.tokens"), budget.tokens.0)?;
-    check(&format!("{path}.calls"), budget.calls.unwrap_or(0))
+    check_limit(&format!("{path}.tokens"), budget.tokens.0)?;
+    check_limit(&format!("{path}.calls"), budget.calls.unwrap_or(0))
 }
 
-fn check(path: &str, number: u64) -> Result<(), Failure> {
-    if number > MOST {
-        let message = format!("at `{path}`: more than {MOST}");
+fn check_limit(path: &str, number: u64) -> Result<(), Failure> {
+    if number > MAX_BUDGET_VALUE {
+        let message = format!("at `{path}`: more than {MAX_BUDGET_VALUE}");
         return Err(Failure::refused(Code::BadBody, message));
     }
     Ok(())
 }
 
-async fn parse<T: DeserializeOwned>(context: &Context, body: Body) -> Result<T, Failure> {
+async fn parse_body<T: DeserializeOwned>(context: &Context, body: Body) -> Result<T, Failure> {
     let limit = context.max_body_bytes;
-    let reading = tokio::time::timeout(BODY, body.into_bytes_limit(limit)).await;
-    let late = || Failure::refused(Code::BadBody, "the body did not arrive in time");
-    let bytes = reading.map_err(|_| late())?.map_err(|_| {
+    let reading = tokio::time::timeout(BODY_TIMEOUT, body.into_bytes_limit(limit)).await;
+    let timed_out = || Failure::refused(Code::BadBody, "timed out while receiving the body");
+    let bytes = reading.map_err(|_| timed_out())?.map_err(|_| {
         Failure::refused(
             Code::TooLarge,
             format!("the body has more than {limit} bytes"),
         )
     })?;
-    let mut reader = serde_json::Deserializer::from_slice(&bytes);
-    serde_path_to_error::deserialize(&mut reader).map_err(|error| {
+    let mut deserializer = serde_json::Deserializer::from_slice(&bytes);
+    serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
         Failure::refused(
             Code::BadBody,
             format!("at `{}`: {}", error.path(), error.inner()),
@@ -295,34 +303,38 @@
     })
 }
 
-fn wants_stream(request: &poem::Request) -> bool {
+fn accepts_stream(request: &poem::Request) -> bool {
     request
         .header("accept")
         .is_some_and(|accept| accept.contains("text/event-stream"))
 }
 
-fn bounded_wait(wait: Option<u64>) -> Duration {
-    wait.map_or(WAIT, Duration::from_millis).min(LONGEST)
+fn request_timeout(timeout_ms: Option<u64>) -> Duration {
+    timeout_ms
+        .map_or(DEFAULT_TIMEOUT, Duration::from_millis)
+        .min(MAX_TIMEOUT)
 }
 
-async fn answer(
+/// Sends a request to the owner and responds with its final answer as JSON.
+async fn respond(
     context: &Context,
     request: Result<Request, Failure>,
-    wait: Option<u64>,
+    timeout_ms: Option<u64>,
 ) -> Response {
-    let answered = match request {
-        Ok(request) => last(context, request, bounded_wait(wait)).await,
+    let result = match request {
+        Ok(request) => final_answer(context, request, request_timeout(timeout_ms)).await,
         Err(failure) => Err(failure),
     };
-    reply(context, answered)
+    json_response(context, result)
 }
 
-async fn last(
+/// Sends a request to the owner and waits for the final answer; skips streamed text.
+async fn final_answer(
     context: &Context,
     request: Request,
-    wait: Duration,
+    timeout: Duration,
 ) -> Result<serde_json::Value, Failure> {
-    let mut frames = context.router.start(request, wait);
+    let mut frames = context.router.start(request, timeout);
     while let Some(frame) = frames.recv().await {
         match frame {
             Frame::Final(body) => return Ok(body),
@@ -330,40 +342,48 @@
             Frame::Delta { .. } | Frame::Restart => {}
         }
     }
-    Err(Failure::refused(Code::Internal, "the request was lost").ran(crate::code::Ran::Unknown))
+    Err(
+        Failure::refused(Code::Internal, "the request ended without an answer")
+            .ran(crate::code::Ran::Unknown),
+    )
 }
 
-fn reply(context: &Context, answered: Result<serde_json::Value, Failure>) -> Response {
-    match answered {
+fn json_response(context: &Context, result: Result<serde_json::Value, Failure>) -> Response {
+    match result {
         Ok(body) => {
             context.metrics.answer("ok");
             Response::builder()
                 .content_type("application/json")
                 .body(body.to_string())
         }
-        Err(failure) => refusal(context, &failure),
+        Err(failure) => failure_response(context, &failure),
     }
 }
 
-fn refusal(context: &Context, failure: &Failure) -> Response {
+fn failure_response(context: &Context, failure: &Failure) -> Response {
     context.metrics.answer(&failure.code.to_string());
     let status = StatusCode::from_u16(failure.code.status());
     let body = serde_json::to_string(failure).unwrap_or_default();
     let mut response = Response::builder()
         .status(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR))
         .content_type("application/json");
-    if let Some(after) = failure.retry_after_ms {
-        response = response.header("retry-after", after.div_ceil(1000).to_string());
+    if let Some(delay_ms) = failure.retry_after_ms {
+        response = response.header("retry-after", delay_ms.div_ceil(1000).to_string());
     }
     response.body(body)
 }
 
-fn stream(context: &Context, request: Result<Request, Failure>, wait: Option<u64>) -> Response {
+/// Sends a request to the owner and responds with its frames as server-sent events.
+fn respond_stream(
+    context: &Context,
+    request: Result<Request, Failure>,
+    timeout_ms: Option<u64>,
+) -> Response {
     let request = match request {
         Ok(request) => request,
-        Err(failure) => return refusal(context, &failure),
+        Err(failure) => return failure_response(context, &failure),
     };
-    let frames = context.router.start(request, bounded_wait(wait));
+    let frames = context.router.start(request, request_timeout(timeout_ms));
     let metrics = context.metrics.clone();
     let events = futures::stream::unfold(frames, next_frame).map(move |frame| {
         match &frame {
@@ -371,7 +391,7 @@
             Frame::Failed(failure) => metrics.answer(&failure.code.to_string()),
             Frame::Delta { .. } | Frame::Restart => {}
         }
-        event_of(&frame)
+        to_event(&frame)
     });
     SSE::new(events)
         .keep_alive(Duration::from_secs(5))
@@ -382,7 +402,7 @@
     frames.recv().await.map(|frame| (frame, frames))
 }
 
-fn event_of(frame: &Frame) -> Event {
+fn to_event(frame: &Frame) -> Event {
     match frame {
         Frame::Delta { at, text } => {
             let Position { stream, at } = at;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: any VM takes any request of a caller and brings it to the owner.
+//! Entry point for callers: any VM accepts any request and forwards it to the shard's owner.
 
 mod http;
 mod router;
--- a/src/entry/router.rs
+++ b/src/entry/router.rs
@@ -1,4 +1,4 @@
-//! The way from an entry to the owner of a shard, here or on another VM.
+//! Routes requests to the owner of their shard, on this VM or another.
 
 use crate::code::{Code, Failure, Ran};
 use crate::id::Vm;
@@ -11,14 +11,14 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Frames that may wait for a slow caller.
-const FRAMES: usize = 1024;
-/// The pause before the owner is looked up again.
-const RETRY: Duration = Duration::from_millis(60);
-/// What the owner is given less than the entry, so that its own answer comes first.
-const MARGIN: Duration = Duration::from_millis(200);
+/// Capacity of frame channels; bounds what is buffered for a slow caller.
+const FRAME_CAPACITY: usize = 1024;
+/// Delay before the owner is looked up again.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Part of the timeout withheld from the owner, so that its timeout response arrives first.
+const OWNER_TIMEOUT_MARGIN: Duration = Duration::from_millis(200);
 
-/// Finds owners and passes requests to them.
+/// Looks up shard owners and forwards requests to them.
 #[derive(Debug, Clone)]
 pub(crate) struct Router {
     pub(crate) vm: Vm,
@@ -28,53 +28,57 @@
     pub(crate) connections: Links,
 }
 
-enum Place {
-    Here,
-    There(SocketAddr),
+enum Owner {
+    Local,
+    Remote(SocketAddr),
 }
 
-/// How one try ended.
-enum End {
-    /// The final frame was passed on, or the caller has gone.
-    Over,
-    /// The owner was lost or is another: the request is brought to the next one.
-    Again,
+/// Result of one attempt.
+enum Attempt {
+    /// The final frame was forwarded, or the caller disconnected.
+    Finished,
+    /// The owner was lost or has changed; look it up and try again.
+    Retry,
 }
 
 impl Router {
-    /// Starts a request; its frames come on the receiver, the last is final.
-    pub(crate) fn start(&self, request: Request, wait: Duration) -> mpsc::Receiver<Frame> {
-        let (frames, receiver) = mpsc::channel(FRAMES);
+    /// Starts a request and returns the receiver of its frames; the last frame is final.
+    pub(crate) fn start(&self, request: Request, timeout: Duration) -> mpsc::Receiver<Frame> {
+        let (frames, receiver) = mpsc::channel(FRAME_CAPACITY);
         let router = self.clone();
-        tokio::spawn(async move { router.bring(request, wait, frames).await });
+        tokio::spawn(async move { router.forward(request, timeout, frames).await });
         receiver
     }
 
-    /// Brings a request to the owner until it is answered.
+    /// Forwards a request to the owner and retries until it is answered.
     ///
-    /// Calls are numbered and openings have keys, so asking again after a lost connection or a
-    /// change of owner gives the kept answer, or the rest of the stream, and runs nothing twice.
-    async fn bring(&self, request: Request, wait: Duration, frames: mpsc::Sender<Frame>) {
-        let until = Instant::now() + wait;
-        let mut tries = Tries::default();
+    /// Retries are idempotent: calls are numbered and programs are opened with a key, so the owner
+    /// returns the stored answer or resumes the stream.
+    async fn forward(&self, request: Request, timeout: Duration, frames: mpsc::Sender<Frame>) {
+        let deadline = Instant::now() + timeout;
+        let mut progress = Progress::default();
         loop {
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 let failure = Failure::refused(Code::NoOwner, "no owner answered in time")
-                    .ran(tries.ran())
+                    .ran(progress.ran())
                     .retry_after(Duration::from_secs(1));
                 let _ = frames.send(Frame::Failed(failure)).await;
                 return;
             }
-            let end = match self.place(&request) {
-                Some(Place::Here) => self.here(&request, until, &frames, &mut tries).await,
-                Some(Place::There(to)) => {
-                    self.there(to, &request, until, &frames, &mut tries).await
+            let attempt = match self.find_owner(&request) {
+                Some(Owner::Local) => {
+                    self.try_local(&request, deadline, &frames, &mut progress)
+                        .await
                 }
-                None => End::Again,
+                Some(Owner::Remote(address)) => {
+                    self.try_remote(address, &request, deadline, &frames, &mut progress)
+                        .await
+                }
+                None => Attempt::Retry,
             };
-            match end {
-                End::Over => return,
-                End::Again => sleep(RETRY).await,
+            match attempt {
+                Attempt::Finished => return,
+                Attempt::Retry => sleep(RETRY_DELAY).await,
             }
             if frames.is_closed() {
                 return;
@@ -82,126 +86,138 @@
         }
     }
 
-    fn place(&self, request: &Request) -> Option<Place> {
+    fn find_owner(&self, request: &Request) -> Option<Owner> {
         let view = self.view.borrow();
         let member = view.owner(request.shard(self.shards))?;
         Some(if member.vm == self.vm {
-            Place::Here
+            Owner::Local
         } else {
-            Place::There(member.address)
+            Owner::Remote(member.address)
         })
     }
 
-    async fn here(
+    async fn try_local(
         &self,
         request: &Request,
-        until: Instant,
+        deadline: Instant,
         frames: &mpsc::Sender<Frame>,
-        tries: &mut Tries,
-    ) -> End {
-        let (sender, mut receiver) = mpsc::channel(FRAMES);
-        let request = resumed(request, tries.passed);
-        let until_owner = until.checked_sub(MARGIN).unwrap_or(until);
+        progress: &mut Progress,
+    ) -> Attempt {
+        let (sender, mut receiver) = mpsc::channel(FRAME_CAPACITY);
+        let request = resume_from(request, progress.position);
+        let owner_deadline = deadline
+            .checked_sub(OWNER_TIMEOUT_MARGIN)
+            .unwrap_or(deadline);
         let ask = Ask {
             request,
             frames: sender,
-            until: until_owner,
+            until: owner_deadline,
         };
         if self.local_owner.try_send(ask).is_err() {
-            let full = Failure::refused(Code::RingFull, "the owner's queue is full")
-                .ran(tries.ran())
+            let failure = Failure::refused(Code::RingFull, "the owner's queue is full")
+                .ran(progress.ran())
                 .retry_after(Duration::from_millis(500));
-            let _ = frames.send(Frame::Failed(full)).await;
-            return End::Over;
+            let _ = frames.send(Frame::Failed(failure)).await;
+            return Attempt::Finished;
         }
         while let Some(frame) = receiver.recv().await {
-            if let Some(end) = pass(frame, frames, tries).await {
-                return end;
+            if let Some(attempt) = forward_frame(frame, frames, progress).await {
+                return attempt;
             }
         }
-        tries.lost = true;
-        End::Again
+        progress.may_have_run = true;
+        Attempt::Retry
     }
 
-    async fn there(
+    async fn try_remote(
         &self,
-        to: SocketAddr,
+        address: SocketAddr,
         request: &Request,
-        until: Instant,
+        deadline: Instant,
         frames: &mpsc::Sender<Frame>,
-        tries: &mut Tries,
-    ) -> End {
-        let wait = until
+        progress: &mut Progress,
+    ) -> Attempt {
+        let timeout = deadline
             .saturating_duration_since(Instant::now())
-            .saturating_sub(MARGIN);
-        let asked = self
+            .saturating_sub(OWNER_TIMEOUT_MARGIN);
+        let subscription = self
             .connections
-            .ask(to, &resumed(request, tries.passed), wait)
+            .ask(address, &resume_from(request, progress.position), timeout)
             .await;
-        let Ok(mut stream) = asked else {
-            tries.lost = true;
-            return End::Again;
+        let Ok(mut stream) = subscription else {
+            progress.may_have_run = true;
+            return Attempt::Retry;
         };
         loop {
-            let Ok(Some(Ok(frame))) = timeout_at(until, stream.next()).await else {
-                tries.lost = true;
-                return End::Again;
+            let Ok(Some(Ok(frame))) = timeout_at(deadline, stream.next()).await else {
+                progress.may_have_run = true;
+                return Attempt::Retry;
             };
-            if let Some(end) = pass(frame, frames, tries).await {
-                return end;
+            if let Some(attempt) = forward_frame(frame, frames, progress).await {
+                return attempt;
             }
         }
     }
 }
 
-/// What the tries so far have done.
+/// State of a request across attempts.
 #[derive(Debug, Default)]
-struct Tries {
-    /// What the caller has of the stream.
-    passed: Position,
-    /// An owner may have acted without an answer that reached this entry.
-    lost: bool,
+struct Progress {
+    /// Position in the stream up to which the caller has the text.
+    position: Position,
+    /// Whether an owner may have run the call without its response reaching this VM.
+    may_have_run: bool,
 }
 
-impl Tries {
+impl Progress {
     const fn ran(&self) -> Ran {
-        if self.lost { Ran::Unknown } else { Ran::No }
+        if self.may_have_run {
+            Ran::Unknown
+        } else {
+            Ran::No
+        }
     }
 }
 
-/// Passes a frame on; `Some` when the try is over.
-async fn pass(frame: Frame, frames: &mpsc::Sender<Frame>, tries: &mut Tries) -> Option<End> {
+/// Forwards a frame to the caller; returns `Some` if the attempt has ended.
+async fn forward_frame(
+    frame: Frame,
+    frames: &mpsc::Sender<Frame>,
+    progress: &mut Progress,
+) -> Option<Attempt> {
     let frame = match frame {
         Frame::Failed(failure) if failure.code == Code::NotOwner => {
-            tries.lost |= failure.ran != Ran::No;
-            return Some(End::Again);
+            progress.may_have_run |= failure.ran != Ran::No;
+            return Some(Attempt::Retry);
+        }
+        // The owner that refused did not run the call, but a previous one may have.
+        Frame::Failed(failure) if failure.ran == Ran::No => {
+            Frame::Failed(failure.ran(progress.ran()))
         }
-        // The refusing owner speaks for itself; one that was lost before it may have acted.
-        Frame::Failed(failure) if failure.ran == Ran::No => Frame::Failed(failure.ran(tries.ran())),
         frame => frame,
     };
-    let last = matches!(frame, Frame::Final(_) | Frame::Failed(_));
+    let is_final = matches!(frame, Frame::Final(_) | Frame::Failed(_));
     match &frame {
         Frame::Delta { at, .. } => {
-            tries.passed = Position {
+            progress.position = Position {
                 at: at.at + 1,
                 ..*at
             };
         }
-        Frame::Restart => tries.passed = Position::default(),
+        Frame::Restart => progress.position = Position::default(),
         Frame::Final(_) | Frame::Failed(_) => {}
     }
     let sent = frames.send(frame).await;
-    (last || sent.is_err()).then_some(End::Over)
+    (is_final || sent.is_err()).then_some(Attempt::Finished)
 }
 
-/// The request, asking for the stream from where the caller has it.
-fn resumed(request: &Request, passed: Position) -> Request {
+/// Copies a request, with the stream position to resume from.
+fn resume_from(request: &Request, position: Position) -> Request {
     let mut request = request.clone();
     if let Request::Call { from, .. } | Request::Read { from, .. } = &mut request
-        && passed.at > 0
+        && position.at > 0
     {
-        *from = passed;
+        *from = position;
     }
     request
 }
