--- a/src/conversation/bucket.rs
+++ b/src/conversation/bucket.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Fallback partitions per bucket.
+/// Number of fallback partitions per bucket; fewer if a topic has too few partitions.
 const MAX_FALLBACK_PARTITIONS: u64 = 3;
 
 /// Hash bucket of turns; each bucket is one partition of one topic.
--- a/src/conversation/locations.rs
+++ b/src/conversation/locations.rs
@@ -1,4 +1,4 @@
-//! Hints which VM has a turn in memory.
+//! Hints about which VM has a turn in memory.
 
 use super::Id;
 use std::collections::HashMap;
--- a/src/conversation/turn.rs
+++ b/src/conversation/turn.rs
@@ -9,7 +9,7 @@
 /// Keys in the store have at most 255 bytes.
 const MAX_ID_BYTES: usize = 200;
 
-/// Id of a turn: the name that its caller chose, prefixed with the team.
+/// Id of a turn: the name that its caller chose, prefixed with the team, if any.
 ///
 /// ```
 /// use vanillatrail::conversation::Id;
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -77,7 +77,7 @@
     /// Number of chunks that the caller already has.
     #[serde(default)]
     from: u64,
-    /// Stream (attempt) that these chunks belong to.
+    /// Number of the stream that these chunks belong to; each run of a call starts a new one.
     #[serde(default)]
     stream: u32,
     #[serde(default)]
--- a/src/order/duty.rs
+++ b/src/order/duty.rs
@@ -121,7 +121,7 @@
                         Ok(state) => {
                             reconciler
                                 .borrow_mut()
-                                .record_state(Instant::now(), &server, state)
+                                .record_state(Instant::now(), &server, state);
                         }
                         Err(error) => {
                             event!(warn, "engine_unread", server = server, reason = error);
