--- a/src/backend/engine.rs
+++ b/src/backend/engine.rs
@@ -96,7 +96,7 @@
             .tcp_nodelay(true)
             .retry(reqwest::retry::never())
             .build()
-            .expect("building an HTTP client without TLS does not fail");
+            .expect("a client without TLS can be built");
         Self { client }
     }
 
--- a/src/backend/service.rs
+++ b/src/backend/service.rs
@@ -40,7 +40,7 @@
             .retry(reqwest::retry::never())
             .redirect(reqwest::redirect::Policy::none())
             .build()
-            .expect("building an HTTP client without TLS does not fail");
+            .expect("a client without TLS can be built");
         Self { client }
     }
 
--- a/src/dispatch/report.rs
+++ b/src/dispatch/report.rs
@@ -29,7 +29,7 @@
     let client = reqwest::Client::builder()
         .timeout(REQUEST_TIMEOUT)
         .build()
-        .expect("building an HTTP client without TLS does not fail");
+        .expect("a client without TLS can be built");
     let mut tick = interval(POLL_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
--- a/src/program/state.rs
+++ b/src/program/state.rs
@@ -138,7 +138,7 @@
     #[must_use]
     pub fn admit(&self, call: Call, digest: Digest) -> Admission {
         if call.0 == 0 {
-            return Admission::Refuse(Failure::refused(Code::BadBody, "calls are numbered from 1"));
+            return Admission::Refuse(Failure::refused(Code::BadBody, "calls count from 1"));
         }
         if let Some(answered) = self
             .answered
