--- a/src/backend/service.rs
+++ b/src/backend/service.rs
@@ -66,7 +66,7 @@
         };
         let response = request.send().await.map_err(|error| failed(&error))?;
         let status = response.status();
-        // A 5xx may come from a proxy before the call ran, or from the service after it took effect.
+        // A 5xx may come from a proxy before the call ran, or from the service after its effect.
         if status.is_server_error() {
             return Err(ServiceError {
                 maybe_sent: true,
