--- a/examples/program.rs
+++ b/examples/program.rs
@@ -48,7 +48,7 @@
     });
     println!(
         "while call 1 runs, {} tokens are reserved",
-        table.get(id).expect("the program is open").used()
+        table.get(id).expect("the program is open").used_tokens()
     );
     table.apply(&Body::Done {
         program: id,
@@ -59,17 +59,17 @@
     });
 
     let program = table.get(id).expect("the program is open");
-    assert_eq!(program.admit(Call(1), digest), Admission::Kept(answer));
+    assert_eq!(program.admit(Call(1), digest), Admission::Answered(answer));
     println!(
         "call 1 repeated gives the stored answer; {} tokens are spent",
-        program.used()
+        program.used_tokens()
     );
     let conflicting = program.admit(Call(1), Digest::of(b"another body"));
     assert!(
         matches!(conflicting, Admission::Refuse(failure) if failure.code == Code::CallConflict)
     );
     let refused = program
-        .reserve(&[question], Tokens(500))
+        .reservation_for(&[question], Tokens(500))
         .expect_err("the call exceeds the budget");
     println!("a call that could exceed the budget: {refused}");
 }
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -1,7 +1,7 @@
-//! Model engines and plain services, met by their published protocols.
+//! Clients of model engines and plain services.
 
 mod engine;
 mod service;
 
-pub(crate) use engine::{Chat, Engines, Fault};
-pub(crate) use service::{Broken, Reply, Services};
+pub(crate) use engine::{Chat, EngineError, Engines};
+pub(crate) use service::{Reply, ServiceError, Services};
--- a/src/effect/state.rs
+++ b/src/effect/state.rs
@@ -1,48 +1,48 @@
-//! The decision on one call that must not be repeated: events in, actions out, no I/O.
+//! State machine of one call that must not be repeated. Does no I/O.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Age of what was read from the log past which an intent is dropped instead of sent.
+/// Maximum age of the log read that returned the intent; an older intent is dropped, not sent.
 ///
-/// It is counted from when the read was sent, not from when its reply was seen: a process that
-/// was stopped in between finds an old reply in its socket and would take it for news.
-const SEND_WINDOW: Duration = Duration::from_secs(3);
+/// The age counts from when the read was sent: a process that was suspended may find an outdated
+/// reply in its socket.
+const MAX_READ_AGE: Duration = Duration::from_secs(3);
 
-/// What has happened to the call.
+/// Input of the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// The intent was read back.
-    ReadBack {
-        /// It is valid, and the program has it as the open intent of its next call.
-        counts: bool,
-        /// When the read that showed it was sent.
-        asked: Instant,
-        /// The time of the decision.
+    /// The intent was read back from the log.
+    IntentRead {
+        /// Whether the record is valid and is the open intent of the program's next call.
+        valid: bool,
+        /// When the read request was sent.
+        requested_at: Instant,
+        /// Current time.
         now: Instant,
     },
-    /// The deadline passed, the program is to end, or another VM took the shard over.
-    Withdrawn,
+    /// The deadline passed, the program is ending, or another VM took the shard over.
+    Cancelled,
     /// The service replied.
     Replied,
-    /// There is no reply that tells the outcome.
-    Broken {
+    /// The request failed without a reply from which the outcome is known.
+    Failed {
         /// Whether any of the request may have reached the service.
-        sent: bool,
+        maybe_sent: bool,
     },
 }
 
-/// What is to be done next.
+/// Output of the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Nothing now.
+    /// Do nothing.
     Wait,
-    /// Send the call; this action is given once at most.
+    /// Send the call; returned at most once.
     Send,
     /// Record that the intent was dropped, and refuse the call as not run.
-    Drop,
-    /// Leave the call to the owner whose records count, and send nothing.
-    Leave,
+    DropIntent,
+    /// Send and record nothing; another VM owns the shard or the call already has an outcome.
+    Abandon,
     /// Record the reply as the answer.
     Record,
     /// Record the outcome as unknown.
@@ -52,19 +52,19 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum Stage {
     #[default]
-    Recording,
+    RecordingIntent,
     Sent,
-    Over,
+    Done,
 }
 
-/// One call whose intent is on its way into the log.
+/// State of one call, starting when its intent is appended to the log.
 ///
 /// ```
 /// use vanillatrail::effect::{Action, Effect, Event};
 /// let now = tokio::time::Instant::now();
 /// let mut effect = Effect::default();
-/// assert_eq!(effect.take(Event::ReadBack { counts: true, asked: now, now }), Action::Send);
-/// assert_eq!(effect.take(Event::Broken { sent: true }), Action::RecordUnknown);
+/// assert_eq!(effect.handle(Event::IntentRead { valid: true, requested_at: now, now }), Action::Send);
+/// assert_eq!(effect.handle(Event::Failed { maybe_sent: true }), Action::RecordUnknown);
 /// ```
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Effect {
@@ -72,40 +72,48 @@
 }
 
 impl Effect {
-    /// Takes in an event and gives the action that follows.
+    /// Handles an event and returns the next action.
     ///
     /// ```
     /// use vanillatrail::effect::{Action, Effect, Event};
     /// let now = tokio::time::Instant::now();
     /// let mut effect = Effect::default();
-    /// assert_eq!(effect.take(Event::Withdrawn), Action::Drop);
-    /// let late = Event::ReadBack { counts: true, asked: now, now };
-    /// assert_eq!(effect.take(late), Action::Wait);
+    /// assert_eq!(effect.handle(Event::Cancelled), Action::DropIntent);
+    /// let late_read = Event::IntentRead { valid: true, requested_at: now, now };
+    /// assert_eq!(effect.handle(late_read), Action::Wait);
     /// ```
-    pub fn take(&mut self, event: Event) -> Action {
+    pub fn handle(&mut self, event: Event) -> Action {
         let (stage, action) = match (self.stage, event) {
-            (Stage::Recording, Event::ReadBack { counts, asked, now }) => {
-                Self::read_back(counts, now.saturating_duration_since(asked))
+            (
+                Stage::RecordingIntent,
+                Event::IntentRead {
+                    valid,
+                    requested_at,
+                    now,
+                },
+            ) => Self::on_intent_read(valid, now.saturating_duration_since(requested_at)),
+            // The intent may still reach the log, but only this process could send the call, and
+            // in stage `Done` it never does. So the call can be reported as not run.
+            (Stage::RecordingIntent, Event::Cancelled)
+            | (Stage::Sent, Event::Failed { maybe_sent: false }) => {
+                (Stage::Done, Action::DropIntent)
             }
-            // The intent may still reach the log. Only this process could send it, and with the
-            // stage over it never does, so "not run" stays true.
-            (Stage::Recording, Event::Withdrawn) | (Stage::Sent, Event::Broken { sent: false }) => {
-                (Stage::Over, Action::Drop)
+            (Stage::Sent, Event::Replied) => (Stage::Done, Action::Record),
+            (Stage::Sent, Event::Failed { maybe_sent: true }) => {
+                (Stage::Done, Action::RecordUnknown)
             }
-            (Stage::Sent, Event::Replied) => (Stage::Over, Action::Record),
-            (Stage::Sent, Event::Broken { sent: true }) => (Stage::Over, Action::RecordUnknown),
             (stage, _) => (stage, Action::Wait),
         };
         self.stage = stage;
         action
     }
 
-    fn read_back(counts: bool, age: Duration) -> (Stage, Action) {
-        if !counts {
-            return (Stage::Over, Action::Leave);
+    fn on_intent_read(valid: bool, age: Duration) -> (Stage, Action) {
+        if !valid {
+            return (Stage::Done, Action::Abandon);
         }
-        if age > SEND_WINDOW {
-            return (Stage::Over, Action::Drop);
+        if age > MAX_READ_AGE {
+            return (Stage::Done, Action::DropIntent);
         }
         (Stage::Sent, Action::Send)
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,7 +1,7 @@
-//! The entry: any VM takes any request of a caller and brings it to the owner.
+//! Entry point for callers: any VM accepts any request and forwards it to the shard's owner.
 
 mod http;
 mod router;
 
-pub(crate) use http::{Entry, routes};
+pub(crate) use http::{Context, routes};
 pub(crate) use router::Router;
--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -8,7 +8,7 @@
 mod stream;
 
 use crate::code::{Code, Failure};
-use crate::conversation::prompt;
+use crate::conversation::build_prompt;
 use crate::gateway::Gateway;
 use crate::gateway::queue::permit::Permit;
 use crate::gateway::server::attempt::{AttemptResult, BufferedResponse, attempt};
@@ -161,7 +161,7 @@
     let turns = job.gateway.load_history(prev_turn).await;
     job.history_time.set(started.elapsed());
     job.gateway.metrics.record_history_wait(started.elapsed());
-    job.body.replace(prompt(&turns?, &job.input));
+    job.body.replace(build_prompt(&turns?, &job.input));
     Ok(())
 }
 
--- a/src/order/mod.rs
+++ b/src/order/mod.rs
@@ -1,8 +1,8 @@
-//! Orders to engines: which weights, adapters and role each should have.
+//! Keeps the weights, adapters and role of engines at the configured state.
 
-mod control;
 mod duty;
+mod reconciler;
 
-pub use control::{Control, Goal, Step};
+pub use reconciler::{Reconciler, State, Step};
 
 pub(crate) use duty::{Context, run};
--- a/src/owner/checkpoint.rs
+++ b/src/owner/checkpoint.rs
@@ -91,7 +91,7 @@
             .iter()
             .filter(|program| !written.contains(&program.id));
         let roots: BTreeSet<_> = missing
-            .filter_map(|program| table.line(program.id).pop())
+            .filter_map(|program| table.lineage(program.id).pop())
             .collect();
         (!roots.is_empty()).then_some(roots)
     }
@@ -112,7 +112,7 @@
             let Some(state) = shards.get(&shard) else {
                 return;
             };
-            let tree = state.table.tree(root);
+            let tree = state.table.subtree(root);
             let waiters = self.waiters.borrow();
             let in_tree = |waiter: &super::duty::Waiter| {
                 waiter
--- a/src/owner/dump.rs
+++ b/src/owner/dump.rs
@@ -15,7 +15,7 @@
                 "epoch": epoch,
                 "leaving": shard_state.releasing,
                 "programs": shard_state.table.iter().count(),
-                "open": shard_state.table.open(),
+                "open": shard_state.table.open_count(),
                 "open_programs": open_programs(&shard_state.table),
             });
             Some((shard.to_string(), state))
@@ -38,7 +38,7 @@
     let states = open.map(|program| {
         let state = json!({
             "class": program.class,
-            "next_call": program.next(),
+            "next_call": program.next_call(),
             "opened_ms": program.opened_ms,
             "intent": program.intent,
         });
--- a/src/owner/model.rs
+++ b/src/owner/model.rs
@@ -116,7 +116,7 @@
             .get(&id.shard())
             .ok_or_else(|| not_owner(id.shard()))?;
         let program = state.table.get(id)?;
-        let reserve = program.reserve(&prompt.messages, prompt.max_tokens)?;
+        let reserve = program.reservation_for(&prompt.messages, prompt.max_tokens)?;
         let messages: Vec<Message> = program
             .history
             .iter()
@@ -140,7 +140,7 @@
             model: model.clone(),
             messages,
             max_tokens: prompt.max_tokens,
-            key: id.to_string(),
+            cache_key: id.to_string(),
         };
         Ok((reserve, request, chat))
     }
@@ -165,7 +165,7 @@
             let stream = self.engines.complete(lease.grant.address, chat, on_delta);
             tokio::select! {
                 result = timeout_at(job.deadline, stream) => {
-                    result.unwrap_or_else(|_| Err(backend::Fault("the deadline passed".into())))
+                    result.unwrap_or_else(|_| Err(backend::EngineError("the deadline passed".into())))
                 }
                 // Dropping the request closes the connection, which makes the engine cancel it.
                 () = run.cancel.cancelled() => return Err(StreamError::Cancelled),
@@ -196,10 +196,10 @@
             let (now, generated) = (Instant::now(), usage.completion.0);
             forecast.record_answer(now, run.program, now - sent, uncached, generated);
         }
-        lease.done(outcome).await;
+        lease.finish(outcome).await;
         match usage {
             Ok(usage) => Ok((run.deltas.borrow().concat().into(), usage)),
-            Err(backend::Fault(reason)) => Err(StreamError::Failed(reason)),
+            Err(backend::EngineError(reason)) => Err(StreamError::Failed(reason)),
         }
     }
 }
--- a/src/owner/serve.rs
+++ b/src/owner/serve.rs
@@ -113,7 +113,7 @@
             .shards
             .borrow()
             .values()
-            .map(|state| state.table.open())
+            .map(|state| state.table.open_count())
             .sum();
         if open_count >= self.context.max_programs {
             let message = format!("{open_count} programs are open");
@@ -149,7 +149,7 @@
             let changed = self.changed.notified();
             let epoch = self.owned_epoch(id.shard())?;
             match self.admit(id, call, digest)? {
-                Admission::Kept(answer) => return answer.body(call),
+                Admission::Answered(answer) => return answer.body(call),
                 Admission::Refuse(failure) => return Err(failure),
                 Admission::Run => match self.find_run(id, call, digest)? {
                     Some(run) => return run.follow(from, frames, deadline).await,
@@ -203,7 +203,7 @@
         let in_progress = self.in_progress.borrow();
         let ending = state
             .table
-            .line(id)
+            .lineage(id)
             .into_iter()
             .any(|id| in_progress.contains(&end_key(id)));
         Ok(!has_intent && !ending && !self.runs.borrow().contains_key(&id))
@@ -256,7 +256,7 @@
         let answered = state
             .table
             .get(id)?
-            .kept
+            .answered
             .get(index)
             .map(|kept| kept.answer.clone());
         answered.ok_or_else(|| {
@@ -308,7 +308,7 @@
         };
         let runs = self.runs.borrow();
         let mut idle = true;
-        for program in state.table.tree(id) {
+        for program in state.table.subtree(id) {
             if let Some(run) = runs.get(&program) {
                 run.cancel.cancel();
                 idle = false;
@@ -336,8 +336,8 @@
         let program = state.table.get(id)?;
         Ok(json!({
             "program": id,
-            "calls": program.kept.len(),
-            "tokens": program.used(),
+            "calls": program.answered.len(),
+            "tokens": program.used_tokens(),
             "budget": program.budget,
             "ended_with": program.reason,
         }))
@@ -357,13 +357,13 @@
             "class": program.class,
             "parent": program.parent,
             "children": program.children,
-            "next_call": program.next(),
+            "next_call": program.next_call(),
             "running": running,
             "intent": program.intent,
             "ended": program.is_ended(),
             "ended_with": program.reason,
             "budget": program.budget,
-            "used": program.used(),
+            "used": program.used_tokens(),
             "history_messages": program.history.len(),
             "history_bytes": program.history_bytes(),
             "resident": program.resident,
--- a/src/owner/service.rs
+++ b/src/owner/service.rs
@@ -56,7 +56,7 @@
             () = job.run.cancel.cancelled() => return Err(self.cancellation_failure(job)),
         };
         lease
-            .done(Outcome {
+            .finish(Outcome {
                 failed: reply.is_err(),
                 ..Outcome::default()
             })
@@ -66,8 +66,8 @@
                 self.record_answer(job, Vec::new(), Answer::Service { status, body })
                     .await
             }
-            Err(backend::Broken { sent, reason }) => {
-                job.run.sent.set(earlier_sent || sent);
+            Err(backend::ServiceError { maybe_sent, reason }) => {
+                job.run.sent.set(earlier_sent || maybe_sent);
                 Err(Failure::refused(Code::ServiceFailed, reason)
                     .retry_after(Duration::from_secs(1)))
             }
@@ -85,9 +85,11 @@
         let mut effect = Effect::default();
         job.run.stage.set("journal_intent");
         let event = self.append_intent(job, invocation).await?;
-        match effect.take(event) {
+        match effect.handle(event) {
             Action::Send => {}
-            Action::Drop => return self.drop_intent(job, self.unsent_failure(job, event)).await,
+            Action::DropIntent => {
+                return self.drop_intent(job, self.unsent_failure(job, event)).await;
+            }
             _ => return Err(not_owner(job.run.program.shard())),
         }
         job.run.stage.set("send");
@@ -100,7 +102,7 @@
         let reply = sending.await;
         let failed = reply.is_err();
         lease
-            .done(Outcome {
+            .finish(Outcome {
                 failed,
                 ..Outcome::default()
             })
@@ -108,13 +110,15 @@
         job.run.stage.set("journal_done");
         let event = match &reply {
             Ok(_) => Event::Replied,
-            Err(error) => Event::Broken { sent: error.sent },
+            Err(error) => Event::Failed {
+                maybe_sent: error.maybe_sent,
+            },
         };
-        let answer = match (effect.take(event), reply) {
+        let answer = match (effect.handle(event), reply) {
             (Action::Record, Ok(backend::Reply { status, body })) => {
                 Answer::Service { status, body }
             }
-            (Action::Drop, Err(error)) => {
+            (Action::DropIntent, Err(error)) => {
                 job.run.sent.set(false);
                 let failure = Failure::refused(Code::ServiceFailed, error.reason);
                 return self
@@ -149,16 +153,20 @@
         let receipt = tokio::select! {
             biased;
             receipt = pending => receipt,
-            () = run.cancel.cancelled() => return Ok(Event::Withdrawn),
-            () = tokio::time::sleep_until(intent_deadline) => return Ok(Event::Withdrawn),
+            () = run.cancel.cancelled() => return Ok(Event::Cancelled),
+            () = tokio::time::sleep_until(intent_deadline) => return Ok(Event::Cancelled),
         };
         let Receipt { validity, asked } =
             receipt.map_err(|_| Failure::refused(Code::Internal, "the owner was restarted"))?;
         // A takeover may have been read with the intent; the new owner then decides on the call.
         let owned = self.owns_since(run.program.shard(), job.epoch);
-        let counts = validity == Validity::Valid && owned && self.is_intent_open(run);
+        let valid = validity == Validity::Valid && owned && self.is_intent_open(run);
         let now = Instant::now();
-        Ok(Event::ReadBack { counts, asked, now })
+        Ok(Event::IntentRead {
+            valid,
+            requested_at: asked,
+            now,
+        })
     }
 
     /// Whether this call's intent is the open intent of the program.
@@ -175,7 +183,7 @@
 
     /// Failure of a call whose intent was dropped before it was sent.
     fn unsent_failure(&self, job: &Job, event: Event) -> Failure {
-        if matches!(event, Event::ReadBack { .. }) {
+        if matches!(event, Event::IntentRead { .. }) {
             let message = "the call could not be sent in time";
             return Failure::refused(Code::DeadlinePassed, message)
                 .retry_after(Duration::from_millis(500));
@@ -203,7 +211,7 @@
         let state = shards
             .get(&id.shard())
             .ok_or_else(|| not_owner(id.shard()))?;
-        state.table.get(id)?.afford(Tokens(0), 1)
+        state.table.get(id)?.check_budget(Tokens(0), 1)
     }
 
     fn service_request(&self, job: &Job) -> Result<Request, Failure> {
--- a/src/owner/spawn.rs
+++ b/src/owner/spawn.rs
@@ -29,7 +29,7 @@
                 let message = "the parent has a call budget, so the child needs one too";
                 return Err(Failure::refused(Code::BudgetExceeded, message));
             }
-            parent.afford(budget.tokens, 1 + budget.calls.unwrap_or(0))?;
+            parent.check_budget(budget.tokens, 1 + budget.calls.unwrap_or(0))?;
             if parent.depth >= job.class.depth {
                 return Err(Failure::refused(
                     Code::DepthLimit,
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -103,7 +103,7 @@
             let (key, pool, permit, outcome): (String, Key, Permit, policy::Outcome) =
                 params.parse()?;
             service.check_key(&key)?;
-            let command = dispatch::Command::Done {
+            let command = dispatch::Command::Finish {
                 key: pool,
                 permit,
                 outcome: Some(outcome),
@@ -185,7 +185,7 @@
     let (reply, receiver) = oneshot::channel::<Result<Grant, Failure>>();
     let command = dispatch::Command::Acquire {
         key: pool.clone(),
-        ask: Box::new(request),
+        request: Box::new(request),
         reply,
     };
     let _ = service.dispatch.send_async(command).await;
@@ -201,7 +201,7 @@
         if sent.is_ok() {
             sink.closed().await;
         }
-        let command = dispatch::Command::Done {
+        let command = dispatch::Command::Finish {
             key: pool,
             permit: grant.permit,
             outcome: None,
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -5,7 +5,6 @@
 //! eviction, load, orders) exchange small JSON objects.
 
 use super::faults::{self, Switches};
-use crate::order::Goal;
 use futures::StreamExt;
 use poem::http::StatusCode;
 use poem::web::sse::{Event, SSE};
@@ -69,7 +68,7 @@
     use_counter: u64,
     /// Highest fencing token of an order so far.
     max_fence: u64,
-    goal: Goal,
+    goal: crate::order::State,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -291,11 +290,14 @@
 struct Order {
     fence: u64,
     #[serde(default)]
-    goal: Goal,
+    goal: crate::order::State,
 }
 
 #[handler]
-async fn get_goal(state: Data<&State>, faults: Data<&Switches>) -> poem::Result<Json<Goal>> {
+async fn get_goal(
+    state: Data<&State>,
+    faults: Data<&Switches>,
+) -> poem::Result<Json<crate::order::State>> {
     faults.delay_or_fail().await?;
     Ok(Json(state.with(|engine| engine.goal.clone())))
 }
