--- a/src/gateway/world/relay/answer.rs
+++ b/src/gateway/world/relay/answer.rs
@@ -1,7 +1,7 @@
-//! What other VMs ask of this one's directory, and what they are told of it unasked.
+//! Answers other VMs' requests for directory changes, and pushes new changes to the VMs that follow this one.
 
 use super::wire::{News, Packet};
-use super::{MANY, Relay, TOLD};
+use super::{FOLLOWER_TIMEOUT_PERIODS, MAX_RELAYED_CHANGES, Relay};
 use crate::gateway::world::directory::Change;
 use crate::id::Offset;
 use crate::member::MAX_DATAGRAM_BYTES;
@@ -9,11 +9,11 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// Bytes of a datagram that are kept for all but the changes.
-const ENVELOPE: usize = 160;
+/// Bytes of a datagram reserved for everything but the changes.
+const NON_CHANGE_BYTES: usize = 160;
 
 impl Relay {
-    /// Takes datagrams in until the process ends.
+    /// Handles incoming datagrams until the process ends.
     pub(in crate::gateway::world) async fn receive(&self) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
@@ -23,12 +23,12 @@
             match self.sealer.open(&buffer[..size]) {
                 Some(Packet::Ask { number, as_of }) => self.answer(from, number, as_of).await,
                 Some(Packet::News { number: 0, news }) => {
-                    self.learn(&news, Instant::now(), false);
+                    self.apply_news(&news, Instant::now(), false);
                 }
                 Some(Packet::News { number, news }) => {
-                    let waiting = self.waiting.borrow_mut().remove(&number);
-                    // Whoever asked may have given up.
-                    drop(waiting.map(|waiting| waiting.send(news)));
+                    let request = self.pending_requests.borrow_mut().remove(&number);
+                    // The request may have timed out.
+                    drop(request.map(|request| request.send(news)));
                 }
                 None => event!(warn, "datagram_refused", from = from, bytes = size),
             }
@@ -37,44 +37,46 @@
 
     async fn answer(&self, from: SocketAddr, number: u64, as_of: Offset) {
         self.note_follower(from, Instant::now());
-        let news = self.news(as_of);
+        let news = self.news_since(as_of);
         self.send(from, &Packet::News { number, news }).await;
     }
 
     fn note_follower(&self, follower: SocketAddr, now: Instant) {
         let mut followers = self.followers.borrow_mut();
-        followers.retain(|_, at| *at + self.period * TOLD > now);
+        followers.retain(|_, asked_at| *asked_at + self.period * FOLLOWER_TIMEOUT_PERIODS > now);
         followers.insert(follower, now);
     }
 
-    /// What came after an offset, as much as fits a datagram.
-    fn news(&self, since: Offset) -> News {
-        let world = self.worlds.borrow();
-        let mut room = MAX_DATAGRAM_BYTES - ENVELOPE;
+    /// Returns the changes after an offset, as many as fit in a datagram.
+    fn news_since(&self, since: Offset) -> News {
+        let routing = self.routing.borrow();
+        let mut remaining_bytes = MAX_DATAGRAM_BYTES - NON_CHANGE_BYTES;
         let fits = |change: &Change| {
             let size = rmp_serde::to_vec(change).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len());
-            let left = room.checked_sub(size);
-            room = left.unwrap_or(0);
+            let left = remaining_bytes.checked_sub(size);
+            remaining_bytes = left.unwrap_or(0);
             left.is_some()
         };
-        let few = world.changes.count_after(since) <= MANY;
-        let part = few.then(|| world.changes.after(since, fits)).flatten();
-        let whole = part.as_ref().is_none_or(|part| part.complete);
-        let age = world
+        let can_send = routing.changes.count_after(since) <= MAX_RELAYED_CHANGES;
+        let part = can_send
+            .then(|| routing.changes.after(since, fits))
+            .flatten();
+        let complete = part.as_ref().is_none_or(|part| part.complete);
+        let age = routing
             .directory_confirmed_at
-            .filter(|_| world.directory_loaded)
+            .filter(|_| routing.directory_loaded)
             .map(|at| at.elapsed());
         News {
             since,
             until: part
                 .as_ref()
                 .filter(|part| !part.complete)
-                .map_or(world.directory_offset, |part| part.end),
+                .map_or(routing.directory_offset, |part| part.end),
             age_ms: age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             has_store: self.has_store.get(),
-            digest: whole.then(|| world.directory.digest()),
+            digest: complete.then(|| routing.directory.digest()),
             changes: part.map(|part| part.changes),
-            config: world.config_version(),
+            config: routing.config_version(),
         }
     }
 
@@ -88,24 +90,24 @@
         }
     }
 
-    /// Tells the VMs that follow this one of each change, until the process ends.
+    /// Pushes each change to the VMs that follow this one, until the process ends.
     pub(in crate::gateway::world) async fn tell(&self) {
-        let mut world = self.worlds.subscribe();
-        let mut told = (Offset(0), 0);
-        while world.changed().await.is_ok() {
+        let mut routing_updates = self.routing.subscribe();
+        let mut pushed = (Offset(0), 0);
+        while routing_updates.changed().await.is_ok() {
             let newest = {
-                let world = world.borrow_and_update();
-                let version = world.config_version();
-                (world.changes.newest_offset(), version)
+                let routing = routing_updates.borrow_and_update();
+                let config_version = routing.config_version();
+                (routing.changes.newest_offset(), config_version)
             };
-            let before = std::mem::replace(&mut told, newest);
-            // The first directory, or a copy, is nothing to tell: whoever follows asks for it.
+            let before = std::mem::replace(&mut pushed, newest);
+            // The first directory is not pushed: followers request it.
             if newest == before || before.0 == Offset(0) {
                 continue;
             }
-            let news = self.news(before.0);
+            let news = self.news_since(before.0);
             if news.changes.is_none() {
-                // Too many to tell each VM: they take a copy when they ask.
+                // Too many changes to push: followers take a copy after their next request.
                 continue;
             }
             let datagram = self.sealer.seal(&Packet::News { number: 0, news });
--- a/src/gateway/world/relay/mod.rs
+++ b/src/gateway/world/relay/mod.rs
@@ -1,9 +1,9 @@
-//! Passes changes to the directory from VM to VM.
+//! Relays changes of the server directory from VM to VM.
 //!
-//! Each VM asks those that [`crate::policy::relay`] names, once a period, and is told of changes in between. A change
-//! is known by its offset at the store, so that the answers of different VMs fit together, and what comes late or
-//! twice changes nothing. Digests find what differs all the same. `ask` is the side of the VM that follows, `answer`
-//! that of the VM that is followed.
+//! Each VM asks the VMs that [`crate::policy::relay`] chooses once per period, and they push changes in between. A
+//! change is identified by its offset in the store, so answers of several VMs can be combined, and late or repeated
+//! ones have no effect. Digests detect directories that differ anyway. `ask` is the side of the follower, `answer` that
+//! of the upstream.
 
 mod answer;
 mod ask;
@@ -24,55 +24,53 @@
 use tokio::time::Instant;
 use wire::News;
 
-/// Changes that are passed on one by one; instead of more a copy is taken.
-const MANY: usize = 150;
-/// The shortest time between two copies.
-const COPIES: Duration = Duration::from_secs(1);
-/// VMs that are asked at random where those that come first do not help.
-const AT_RANDOM: usize = 2;
-/// For how many periods after its last question a VM is told of changes.
-const TOLD: u32 = 3;
+/// Most changes that are sent one by one; beyond it, the follower takes a copy of the directory.
+const MAX_RELAYED_CHANGES: usize = 150;
+const MIN_COPY_INTERVAL: Duration = Duration::from_secs(1);
+/// Random VMs that are asked in addition if this VM may not or cannot read the store.
+const RANDOM_SOURCES: usize = 2;
+/// Periods after its last request for which changes are pushed to a follower.
+const FOLLOWER_TIMEOUT_PERIODS: u32 = 3;
 
-/// How the questions of one round ended.
+/// Result of asking the sources once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Heard {
     /// A VM with a fresh directory answered.
     News,
-    /// The same, and it has more to tell.
+    /// A VM with a fresh directory answered, and has more changes.
     More,
-    /// A VM is about to have a directory.
+    /// A VM is about to load the directory.
     Soon,
     /// No VM has a fresh directory.
     Nobody,
 }
 
-/// The directory of this VM as others follow it.
+/// Exchanges directory changes with other VMs.
 #[derive(Debug)]
 pub(super) struct Relay {
     socket: UdpSocket,
     sealer: Sealer,
-    worlds: watch::Sender<Routing>,
+    routing: watch::Sender<Routing>,
     period: Duration,
-    began: Instant,
-    numbers: Cell<u64>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<News>>>,
-    /// VMs that ask this one, and when they last did.
+    started: Instant,
+    next_request_number: Cell<u64>,
+    pending_requests: RefCell<HashMap<u64, oneshot::Sender<News>>>,
+    /// VMs that request changes from this one, with the time of their last request.
     followers: RefCell<HashMap<SocketAddr, Instant>>,
-    passed_over: RefCell<HashMap<SocketAddr, Instant>>,
-    /// Whether the store answers this VM.
+    skipped_until: RefCell<HashMap<SocketAddr, Instant>>,
+    /// Whether this VM can read the store.
     pub(super) has_store: Cell<bool>,
-    /// When it was last back after it did not.
+    /// When the store last became readable again after an outage.
     pub(super) store_back: Cell<Option<Instant>>,
-    /// Set where the directory can't be brought up to date by changes: what a copy has to stand for at least.
+    /// Lowest offset of the copy that is needed; set when changes alone can't bring the directory up to date.
     pub(super) wants_copy: Cell<Option<Offset>>,
-    /// The newest configuration that some VM has, and since when that is known.
+    /// Newest configuration version that another VM announced, and when.
     pub(super) told_config: Cell<Option<(u64, Instant)>>,
-    /// Told when one of the two above is set.
+    /// Notified when `wants_copy` or `told_config` is set.
     pub(super) wanted: Notify,
-    /// When a copy was last taken.
-    copied: Cell<Option<Instant>>,
-    /// Whether the newest answer told of another directory than this one.
-    differs: Cell<bool>,
+    last_copied_at: Cell<Option<Instant>>,
+    /// Whether the digest in the newest answer differed from this VM's.
+    digest_differs: Cell<bool>,
 }
 
 impl Relay {
@@ -80,77 +78,79 @@
         socket: UdpSocket,
         key: &str,
         period: Duration,
-        worlds: watch::Sender<Routing>,
+        routing: watch::Sender<Routing>,
     ) -> Self {
         Self {
             socket,
             sealer: Sealer::new(key),
-            worlds,
+            routing,
             period,
-            began: Instant::now(),
-            numbers: Cell::new(u64::from(rand::random::<u32>()) << 24 | 1),
-            waiting: RefCell::default(),
+            started: Instant::now(),
+            next_request_number: Cell::new(u64::from(rand::random::<u32>()) << 24 | 1),
+            pending_requests: RefCell::default(),
             followers: RefCell::default(),
-            passed_over: RefCell::default(),
+            skipped_until: RefCell::default(),
             has_store: Cell::new(true),
             store_back: Cell::new(None),
             wants_copy: Cell::new(None),
             told_config: Cell::new(None),
             wanted: Notify::new(),
-            copied: Cell::new(None),
-            differs: Cell::new(false),
+            last_copied_at: Cell::new(None),
+            digest_differs: Cell::new(false),
         }
     }
 
-    /// What the directory stands for; none where it is not known yet.
+    /// Offset up to which the directory is complete; `None` before it is loaded.
     pub(super) fn as_of(&self) -> Option<Offset> {
-        let world = self.worlds.borrow();
-        world.directory_loaded.then_some(world.directory_offset)
+        let routing = self.routing.borrow();
+        routing.directory_loaded.then_some(routing.directory_offset)
     }
 
-    /// Whether the directory is what the store says now.
+    /// Whether the directory was confirmed by the store recently.
     pub(super) fn is_fresh(&self) -> bool {
-        let aged = self.worlds.borrow().directory_confirmed_at;
-        aged.is_some_and(|aged| is_fresh(aged.elapsed(), self.period))
+        let confirmed_at = self.routing.borrow().directory_confirmed_at;
+        confirmed_at.is_some_and(|at| is_fresh(at.elapsed(), self.period))
     }
 
-    /// The directory is what the store said at this time.
+    /// Records that the directory matched the store at this time.
     pub(super) fn aged(&self, at: Instant) {
-        self.worlds.send_if_modified(|world| {
-            world.directory_confirmed_at = world.directory_confirmed_at.max(Some(at));
+        self.routing.send_if_modified(|routing| {
+            routing.directory_confirmed_at = routing.directory_confirmed_at.max(Some(at));
             false
         });
     }
 
-    /// Changes the directory, and notes what changed for the VMs that follow. It stands for `until` then.
+    /// Updates the directory to the offset `until`, and records the changes for followers.
     pub(super) fn update(
         &self,
         until: Offset,
         change: impl FnOnce(&mut Routing) -> Vec<(Offset, Change)>,
     ) {
-        self.worlds.send_if_modified(|world| {
-            let first = !world.directory_loaded;
-            let noted = change(world);
-            world.directory_offset = until;
-            if first && world.directory_loaded {
-                world.changes.restart(until);
+        self.routing.send_if_modified(|routing| {
+            let is_first = !routing.directory_loaded;
+            let changes = change(routing);
+            routing.directory_offset = until;
+            if is_first && routing.directory_loaded {
+                routing.changes.restart(until);
                 return true;
             }
-            let changed = !noted.is_empty();
-            for (at, change) in noted {
-                world.changes.push(at, change);
+            let changed = !changes.is_empty();
+            for (offset, change) in changes {
+                routing.changes.push(offset, change);
             }
             changed
         });
     }
 
-    /// Changes the directory to what was read as a whole.
+    /// Replaces the directory by one that was read completely from the store.
     pub(super) fn replace(&self, until: Offset, change: impl FnOnce(&mut Routing) -> Vec<Change>) {
         let known = self.as_of();
-        self.update(until, |world| spread(known, until, change(world)));
+        self.update(until, |routing| {
+            spread_offsets(known, until, change(routing))
+        });
     }
 
-    /// Changes the directory to a copy of another VM's, unless that is older. Tells whether it was used.
+    /// Replaces the directory by another VM's copy, unless the copy is older. Returns whether it was used.
     pub(super) fn take_copy(
         &self,
         until: Offset,
@@ -160,43 +160,47 @@
             return false;
         }
         self.wants_copy.set(None);
-        self.differs.set(false);
-        self.copied.set(Some(Instant::now()));
-        // A VM that follows may know a part of this from elsewhere: it gets all or nothing.
-        self.update(until, |world| {
-            let changes = change(world).into_iter();
+        self.digest_differs.set(false);
+        self.last_copied_at.set(Some(Instant::now()));
+        // All changes get the same offset: a follower must get all of them or none.
+        self.update(until, |routing| {
+            let changes = change(routing).into_iter();
             changes.map(|change| (until, change)).collect()
         });
         true
     }
 
-    /// The VMs to ask now, and whether this one reads the store where none of them helps.
+    /// Returns the VMs to ask now, and whether this VM may read the store if none of them has a fresh directory.
     pub(super) fn sources(&self, sources: &Sources) -> (Vec<SocketAddr>, bool) {
         let order = sources.relay_order();
         let has_store = self.has_store.get();
-        // The first one goes on trying: the partition of the directory may be there where others are not.
-        let reads = order.upstreams.is_empty() || order.may_read_store && has_store;
-        let mut asked = order.upstreams;
+        // A VM without upstreams keeps trying: the directory's partition may be readable when others are not.
+        let may_read_store = order.upstreams.is_empty() || order.may_read_store && has_store;
+        let mut sources_to_ask = order.upstreams;
         if !order.may_read_store || !has_store {
-            asked.extend(sources.random_relays(AT_RANDOM));
+            sources_to_ask.extend(sources.random_relays(RANDOM_SOURCES));
         }
-        (asked, reads)
+        (sources_to_ask, may_read_store)
     }
 }
 
-/// Gives changes that were found together offsets of their own, as far as there are enough after the last ones: those
-/// of one offset can be passed on together only.
-fn spread(known: Option<Offset>, until: Offset, changes: Vec<Change>) -> Vec<(Offset, Change)> {
+/// Spreads changes that were read together over the offsets after `known`, as far as these suffice. Changes of one
+/// offset can't be sent in separate datagrams.
+fn spread_offsets(
+    known: Option<Offset>,
+    until: Offset,
+    changes: Vec<Change>,
+) -> Vec<(Offset, Change)> {
     let first = known.map_or(until.0, |known| known.0 + 1);
     let count = changes.len() as u64;
     let changes = changes.into_iter().zip(1..);
-    let at = |number: u64| {
+    let offset_of = |number: u64| {
         (until.0 + number)
             .saturating_sub(count)
             .max(first)
             .min(until.0)
     };
     changes
-        .map(|(change, number)| (Offset(at(number)), change))
+        .map(|(change, number)| (Offset(offset_of(number)), change))
         .collect()
 }
--- a/src/gateway/world/relay/wire.rs
+++ b/src/gateway/world/relay/wire.rs
@@ -1,4 +1,4 @@
-//! The datagrams by which VMs pass on changes to the directory.
+//! Datagrams in which VMs exchange directory changes.
 
 use crate::gateway::world::directory::Change;
 use crate::id::Offset;
@@ -6,38 +6,37 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) enum Packet {
-    /// What is new since an offset?
+    /// Requests the changes after an offset.
     #[serde(rename = "a")]
     Ask { number: u64, as_of: Offset },
-    /// The answer; number 0 where nobody asked.
+    /// Answers the request with this number, or pushes unrequested changes if it is 0.
     #[serde(rename = "n")]
     News { number: u64, news: News },
 }
 
-/// What a VM knows that another may not.
+/// Directory changes and the state of the VM that sends them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(super) struct News {
-    /// The changes are all that came after this offset.
+    /// The changes start after this offset.
     pub(super) since: Offset,
-    /// What the directory stands for with them.
+    /// Offset of the directory once the changes are applied.
     pub(super) until: Offset,
-    /// How old it is, in milliseconds; none where the VM has no directory yet.
+    /// Age of the sender's directory; `None` if it has not loaded one yet.
     pub(super) age_ms: Option<u64>,
-    /// Whether the store answers the VM.
+    /// Whether the sender can read the store.
     pub(super) has_store: bool,
-    /// The digest of the directory; none where more changes follow.
+    /// Digest of the sender's directory; `None` if more changes follow.
     pub(super) digest: Option<u64>,
-    /// None where they are not kept any more, or too many for a datagram.
+    /// `None` if there are too many, or they are not kept that far back.
     pub(super) changes: Option<Vec<Change>>,
-    /// The newest configuration that the VM has.
+    /// Newest configuration version that the sender has.
     pub(super) config: u64,
 }
 
 impl News {
-    pub(super) fn standing(&self) -> Status {
+    pub(super) fn status(&self) -> Status {
         Status {
             age: self.age_ms.map(Duration::from_millis),
             has_store: self.has_store,
