--- a/tests/codes.rs
+++ b/tests/codes.rs
@@ -1,11 +1,11 @@
-//! The pages that are made from the code are the ones that are committed.
+//! Checks that the committed pages generated from the code are up to date.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::process::Command;
 use vanillatrail::code::Code;
 
-fn made(arguments: &[&str]) -> String {
+fn generate(arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_vanillatrail"))
         .args(arguments)
         .output()
@@ -14,31 +14,31 @@
     String::from_utf8(output.stdout).expect("text")
 }
 
-fn same(arguments: &[&str], page: &str) {
+fn assert_up_to_date(arguments: &[&str], page: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(page);
     let committed = std::fs::read_to_string(path).unwrap_or_default();
     let command = arguments.join(" ");
     assert!(
-        made(arguments) == committed,
+        generate(arguments) == committed,
         "{page} is out of date: run `cargo run -- {command} > {page}`"
     );
 }
 
 #[test]
-fn the_table_of_codes_is_committed() {
-    same(&["codes"], "docs/CODES.md");
+fn code_table_is_up_to_date() {
+    assert_up_to_date(&["codes"], "docs/CODES.md");
 }
 
 #[test]
-fn the_schemas_are_committed() {
-    same(&["schema", "settings"], "docs/schema/settings.json");
-    same(&["schema", "gateway"], "docs/schema/gateway.json");
-    same(&["schema", "config"], "docs/schema/config.json");
+fn schemas_are_up_to_date() {
+    assert_up_to_date(&["schema", "settings"], "docs/schema/settings.json");
+    assert_up_to_date(&["schema", "gateway"], "docs/schema/gateway.json");
+    assert_up_to_date(&["schema", "config"], "docs/schema/config.json");
 }
 
 #[test]
-fn each_code_has_a_number_of_its_own_and_a_place_in_the_table() {
-    let page = made(&["codes"]);
+fn codes_are_unique_and_listed_in_the_table() {
+    let page = generate(&["codes"]);
     let numbers: BTreeSet<u16> = Code::ALL.iter().map(|code| code.number()).collect();
     assert_eq!(numbers.len(), Code::ALL.len());
     for code in Code::ALL {
@@ -47,6 +47,6 @@
             page.contains(&format!("| {code} | {} |", code.status())),
             "{code}"
         );
-        assert!(made(&["codes", &code.to_string()]).contains(code.meaning()));
+        assert!(generate(&["codes", &code.to_string()]).contains(code.meaning()));
     }
 }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,8 +1,8 @@
-//! Which request goes to which backend server, and which waits.
+//! Placement of requests on backend servers and the order of the queue.
 
 mod fleet;
 
-use fleet::{ask, done, server};
+use fleet::{completed, request, server};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -10,32 +10,31 @@
 use vanillatrail::policy::dispatch::{Description, Dispatcher, Load, Outcome, Placement, Request};
 use vanillatrail::policy::prefix::{Cache, Part};
 
-/// A turn of a program that should be finished in `left_ms`.
+/// A turn of a program with `left_ms` until its deadline.
 fn turn(program: u64, left_ms: i64) -> Request {
     Request {
         program: Some(program),
         left_ms,
-        ..ask(0)
+        ..request(0)
     }
 }
 
-fn granted(verdict: Placement) -> Arc<str> {
-    match verdict {
+fn granted(placement: Placement) -> Arc<str> {
+    match placement {
         Placement::Granted(server) => server,
         other => panic!("not granted: {other:?}"),
     }
 }
 
-/// A burst fills every server, and more requests come. The servers would admit them in the order of
-/// arrival; here the one of the highest rank goes first when a server is done.
+/// Guards against a freed slot that goes to the first arrival instead of the request with the best rank.
 #[test]
-fn the_highest_rank_goes_first() {
+fn queued_request_with_best_rank_is_granted_first() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
     dispatcher.set_servers([server("s", "a", 1)]);
-    granted(dispatcher.request(now, Permit(1), ask(0)));
+    granted(dispatcher.request(now, Permit(1), request(0)));
     for (permit, rank) in [(2, 2), (3, 0), (4, 1)] {
         assert_eq!(
-            dispatcher.request(now, Permit(permit), ask(rank)),
+            dispatcher.request(now, Permit(permit), request(rank)),
             Placement::Waiting
         );
     }
@@ -45,116 +44,124 @@
     assert_eq!(first[0].0, Permit(3));
 }
 
-/// Requests spread over the servers of a service, first within the zone that they come from.
+/// Guards against requests that leave their zone while it has free slots, or all go to one server.
 #[test]
-fn the_emptier_server_is_chosen_and_the_own_zone_preferred() {
+fn own_zone_is_preferred_and_then_the_least_loaded_server() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
     dispatcher.set_servers([server("near", "a", 4), server("far", "b", 4)]);
     assert_eq!(
-        &*granted(dispatcher.request(now, Permit(1), ask(0))),
+        &*granted(dispatcher.request(now, Permit(1), request(0))),
         "near"
     );
-    assert_eq!(&*granted(dispatcher.request(now, Permit(2), ask(0))), "far");
+    assert_eq!(
+        &*granted(dispatcher.request(now, Permit(2), request(0))),
+        "far"
+    );
 }
 
-/// A server that fails its requests rests, longer each time, and is then tried again; callers are
-/// served by the others meanwhile.
+/// Guards against a failing server that keeps getting requests, or never gets them again.
 #[test]
-fn a_failing_server_rests_and_comes_back() {
+fn failing_server_is_ejected_and_retried_later() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
     dispatcher.set_servers([server("good", "b", 4), server("bad", "a", 4)]);
-    assert_eq!(&*granted(dispatcher.request(now, Permit(1), ask(0))), "bad");
+    assert_eq!(
+        &*granted(dispatcher.request(now, Permit(1), request(0))),
+        "bad"
+    );
     dispatcher.finish(now, Permit(1), Outcome::Failed);
     for permit in 2..5 {
         assert_eq!(
-            &*granted(dispatcher.request(now, Permit(permit), ask(0))),
+            &*granted(dispatcher.request(now, Permit(permit), request(0))),
             "good"
         );
         dispatcher.finish(now, Permit(permit), Outcome::Void);
     }
     let later = now + Duration::from_secs(5);
     assert_eq!(
-        &*granted(dispatcher.request(later, Permit(9), ask(0))),
+        &*granted(dispatcher.request(later, Permit(9), request(0))),
         "bad"
     );
 }
 
-/// A server works five times slower than the others and says nothing of it. Its answers tell, and
-/// it gets a smaller part of the requests than the others do.
+/// Guards against a slow server that reports no load but gets as many requests as a fast one.
 #[test]
-fn a_slow_server_gets_less() {
+fn slow_server_gets_fewer_requests() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
     dispatcher.set_servers([server("fast", "a", 16), server("slow", "a", 16)]);
     let mut running: Vec<(u64, Permit, u64)> = Vec::new();
-    let (mut slow, mut clock) = (0, 0);
+    let (mut slow_count, mut clock_ms) = (0, 0);
     for number in 0..400 {
-        clock += 10;
-        let at = now + Duration::from_millis(clock);
-        running.retain(|&(end, permit, took)| {
-            if end <= clock {
-                let took = Duration::from_millis(took);
-                dispatcher.finish(at, permit, done(took));
+        clock_ms += 10;
+        let at = now + Duration::from_millis(clock_ms);
+        running.retain(|&(end, permit, took_ms)| {
+            if end <= clock_ms {
+                let took = Duration::from_millis(took_ms);
+                dispatcher.finish(at, permit, completed(took));
             }
-            end > clock
+            end > clock_ms
         });
-        let chosen = granted(dispatcher.request(at, Permit(number), ask(0)));
-        let took = if &*chosen == "slow" { 250 } else { 50 };
+        let chosen = granted(dispatcher.request(at, Permit(number), request(0)));
+        let took_ms = if &*chosen == "slow" { 250 } else { 50 };
         if number >= 200 && &*chosen == "slow" {
-            slow += 1;
+            slow_count += 1;
         }
-        running.push((clock + took, Permit(number), took));
+        running.push((clock_ms + took_ms, Permit(number), took_ms));
     }
-    assert!(slow < 60, "{slow} of 200 to the slow server");
+    assert!(
+        slow_count < 60,
+        "{slow_count} of 200 requests went to the slow server"
+    );
 }
 
-/// A server that drains or has gone gets nothing new, and a request for a service that has no
-/// server left is refused at once.
+/// Guards against requests to a draining server, and against waiting for a service without usable servers.
 #[test]
-fn a_leaving_server_gets_nothing_new() {
+fn draining_server_gets_no_new_requests() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
-    let leaving = Description {
+    let draining = Description {
         draining: true,
         ..server("s", "a", 4)
     };
-    dispatcher.set_servers([leaving.clone(), server("t", "b", 4)]);
-    assert_eq!(&*granted(dispatcher.request(now, Permit(1), ask(0))), "t");
-    dispatcher.set_servers([leaving]);
+    dispatcher.set_servers([draining.clone(), server("t", "b", 4)]);
     assert_eq!(
-        dispatcher.request(now, Permit(2), ask(0)),
+        &*granted(dispatcher.request(now, Permit(1), request(0))),
+        "t"
+    );
+    dispatcher.set_servers([draining]);
+    assert_eq!(
+        dispatcher.request(now, Permit(2), request(0)),
         Placement::NoServer
     );
 }
 
-/// The next turn of a line goes where its prompt is kept, unless that server is busier.
+/// Guards against turns of a session that move away from the server with its conversation history in the cache.
 #[test]
-fn a_line_of_turns_stays_at_its_server() {
+fn session_stays_at_its_server() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
     dispatcher.set_servers([server("s", "a", 8), server("t", "a", 8)]);
-    let line = |line| Request {
-        session: Some(line),
-        ..ask(0)
+    let turn_of = |session| Request {
+        session: Some(session),
+        ..request(0)
     };
-    let first = granted(dispatcher.request(now, Permit(1), line(7)));
+    let first = granted(dispatcher.request(now, Permit(1), turn_of(7)));
     let took = Duration::from_millis(50);
-    dispatcher.finish(now, Permit(1), done(took));
+    dispatcher.finish(now, Permit(1), completed(took));
     for permit in 2..5 {
         assert_eq!(
-            granted(dispatcher.request(now, Permit(permit), line(7))),
+            granted(dispatcher.request(now, Permit(permit), turn_of(7))),
             first
         );
-        dispatcher.finish(now, Permit(permit), done(took));
+        dispatcher.finish(now, Permit(permit), completed(took));
     }
 }
 
-/// A caller leaves while its request waits. Its place in the queue is given up, and the next one
-/// goes instead.
+/// Guards against granting a slot to a request whose caller has gone.
 #[test]
-fn a_request_that_is_given_up_is_not_granted() {
+fn cancelled_request_is_not_granted() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
     dispatcher.set_servers([server("s", "a", 1)]);
-    granted(dispatcher.request(now, Permit(1), ask(0)));
-    dispatcher.request(now, Permit(2), ask(0));
-    dispatcher.request(now, Permit(3), ask(1));
+    granted(dispatcher.request(now, Permit(1), request(0)));
+    dispatcher.request(now, Permit(2), request(0));
+    dispatcher.request(now, Permit(3), request(1));
     dispatcher.finish(now, Permit(2), Outcome::Void);
     dispatcher.finish(now, Permit(1), Outcome::Void);
     let granted: Vec<_> = dispatcher
@@ -165,10 +172,9 @@
     assert_eq!(granted, [Permit(3)]);
 }
 
-/// More programs come than the servers can finish. Those that were admitted go on before a new one
-/// that came earlier, and the new one steps back instead of making all of them late.
+/// Guards against an overload in which new programs are served before admitted ones and make all of them late.
 #[test]
-fn programs_that_were_admitted_go_before_those_that_do_not_fit() {
+fn admitted_programs_are_granted_before_new_ones_under_overload() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
     dispatcher.set_servers([server("s", "a", 1)]);
     granted(dispatcher.request(now, Permit(1), turn(1, 3000)));
@@ -181,14 +187,13 @@
         dispatcher.request(later, Permit(3), turn(1, 2900)),
         Placement::Waiting
     );
-    dispatcher.finish(later, Permit(1), done(Duration::from_millis(100)));
+    dispatcher.finish(later, Permit(1), completed(Duration::from_millis(100)));
     assert_eq!(dispatcher.grant(later)[0].0, Permit(3));
 }
 
-/// A request of a program that can't end in time waits in vain. It is given up while its caller has
-/// time to come back, and its place in the queue is free.
+/// Guards against requests of programs that can't meet their deadline waiting until it is too late for a retry.
 #[test]
-fn a_request_that_waits_in_vain_is_given_up() {
+fn request_that_cannot_meet_its_deadline_times_out_early() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
     dispatcher.set_servers([server("s", "a", 1)]);
     granted(dispatcher.request(now, Permit(1), turn(1, 3000)));
@@ -200,10 +205,9 @@
     assert!(dispatcher.grant(later).is_empty());
 }
 
-/// VMs that are cut off from this one send requests to the same server. Its reports tell, and it
-/// gets fewer requests from here.
+/// Guards against overloading a server that also gets requests from VMs that this one can't reach.
 #[test]
-fn the_load_of_others_takes_places() {
+fn reported_load_of_other_vms_reduces_free_slots() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
     dispatcher.set_servers([server("s", "a", 3)]);
     let load = Some(Load {
@@ -216,71 +220,76 @@
         load,
     };
     for permit in 0..50 {
-        granted(dispatcher.request(now, Permit(permit), ask(0)));
+        granted(dispatcher.request(now, Permit(permit), request(0)));
         dispatcher.finish(now, Permit(permit), outcome);
     }
-    granted(dispatcher.request(now, Permit(100), ask(0)));
+    granted(dispatcher.request(now, Permit(100), request(0)));
     assert_eq!(
-        dispatcher.request(now, Permit(101), ask(0)),
+        dispatcher.request(now, Permit(101), request(0)),
         Placement::Waiting
     );
 }
 
-/// Many VMs send few requests each to many servers, and every request opens a connection. A VM is
-/// sent where its connection is likely to be open still, as long as that server is hardly busier.
+/// Guards against a new connection for every request when many VMs send few requests to many servers.
 #[test]
-fn a_vm_is_sent_where_it_was_before() {
+fn vm_is_sent_to_a_server_it_used_before() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
     let servers = ["s", "t", "u", "v"].map(|id| server(id, "a", 6));
     dispatcher.set_servers(servers);
-    let from = |vm| Request { vm, ..ask(0) };
+    let from = |vm| Request { vm, ..request(0) };
     for vm in 0..4 {
         granted(dispatcher.request(now, Permit(vm), from(vm)));
     }
     for vm in 0..4 {
-        dispatcher.finish(now, Permit(vm), done(Duration::from_millis(50)));
+        dispatcher.finish(now, Permit(vm), completed(Duration::from_millis(50)));
     }
     let first = granted(dispatcher.request(now, Permit(10), from(0)));
-    dispatcher.finish(now, Permit(10), done(Duration::from_millis(50)));
+    dispatcher.finish(now, Permit(10), completed(Duration::from_millis(50)));
     for permit in 11..15 {
         assert_eq!(
             granted(dispatcher.request(now, Permit(permit), from(0))),
             first
         );
-        dispatcher.finish(now, Permit(permit), done(Duration::from_millis(50)));
+        dispatcher.finish(now, Permit(permit), completed(Duration::from_millis(50)));
     }
 }
 
-/// A program starts sub-agents, each of which begins with all that the program has read. They go where
-/// that is kept, though another server has less to do; a prompt that is kept nowhere goes to the latter.
+/// Guards against sub-agents placed on an idle server instead of the one that has their common prompt prefix in its
+/// cache, and against unrelated prompts following them.
 #[test]
-fn sub_agents_go_where_their_beginning_is_kept() {
+fn sub_agents_go_to_the_server_that_caches_their_prefix() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
     dispatcher.set_servers([server("s", "a", 12), server("t", "a", 12)]);
     let part = |id, tokens| Part { id, tokens };
-    let ask = |prompt| Request { prompt, ..ask(0) };
+    let with_prompt = |prompt| Request {
+        prompt,
+        ..request(0)
+    };
     let parent = vec![part(1, 500), part(2, 1500)];
-    let first = granted(dispatcher.request(now, Permit(1), ask(parent)));
+    let first = granted(dispatcher.request(now, Permit(1), with_prompt(parent)));
     for agent in 0..4 {
         let prompt = vec![part(1, 500), part(2, 1500), part(10 + agent, 300)];
         let permit = Permit(2 + agent);
-        assert_eq!(granted(dispatcher.request(now, permit, ask(prompt))), first);
+        assert_eq!(
+            granted(dispatcher.request(now, permit, with_prompt(prompt))),
+            first
+        );
     }
-    let other = granted(dispatcher.request(now, Permit(6), ask(vec![part(3, 800)])));
+    let other = granted(dispatcher.request(now, Permit(6), with_prompt(vec![part(3, 800)])));
     assert_ne!(other, first);
 }
 
-/// A server keeps so many tokens and no more; what was of use last stays, and what follows a gap does not
-/// count.
+/// Guards against a prefix cache that exceeds its capacity, evicts recently used parts, or counts parts after a
+/// missing one as cached.
 #[test]
-fn the_oldest_beginning_is_forgotten_first() {
+fn least_recently_used_prefix_is_evicted_first() {
     let part = |id| Part { id, tokens: 400 };
-    let mut prefixes = Cache::default();
-    prefixes.insert(&[part(1), part(2)], 1200);
-    prefixes.insert(&[part(1), part(3)], 1200);
-    assert_eq!(prefixes.uncached_tokens(&[part(1), part(2)]), 0);
-    prefixes.insert(&[part(1), part(4)], 1200);
-    assert_eq!(prefixes.uncached_tokens(&[part(1), part(2)]), 400);
-    assert_eq!(prefixes.uncached_tokens(&[part(1), part(3)]), 0);
-    assert_eq!(prefixes.uncached_tokens(&[part(2), part(3)]), 800);
+    let mut cache = Cache::default();
+    cache.insert(&[part(1), part(2)], 1200);
+    cache.insert(&[part(1), part(3)], 1200);
+    assert_eq!(cache.uncached_tokens(&[part(1), part(2)]), 0);
+    cache.insert(&[part(1), part(4)], 1200);
+    assert_eq!(cache.uncached_tokens(&[part(1), part(2)]), 400);
+    assert_eq!(cache.uncached_tokens(&[part(1), part(3)]), 0);
+    assert_eq!(cache.uncached_tokens(&[part(2), part(3)]), 800);
 }
--- a/tests/dispatch_burst.rs
+++ b/tests/dispatch_burst.rs
@@ -1,8 +1,8 @@
-//! A burst of programs before the engines of one pool, replayed in virtual time.
+//! Bursts of programs on the servers of one service, simulated in virtual time.
 
 mod fleet;
 
-use fleet::{ask, done, server};
+use fleet::{completed, request, server};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,234 +10,250 @@
 use vanillatrail::id::Permit;
 use vanillatrail::policy::dispatch::{Dispatcher, Placement, Request};
 
-/// Engines, and the turns that each runs at a time.
-const ENGINES: usize = 8;
+const SERVERS: usize = 8;
+/// Turns that a server runs at a time.
 const SLOTS: usize = 6;
-/// The pause between two turns, in milliseconds.
+/// Pause between two turns of a program.
 const PAUSE_MS: i64 = 150;
-/// Turns of a program. Full engines finish 48 programs a second.
-const TURNS: u32 = 4;
-/// When a caller that was refused asks again, and how often it does.
-const AGAIN_MS: i64 = 900;
-const TRIES: u32 = 4;
-/// Milliseconds of one step.
+/// Turns of a program. With all slots busy the servers finish 48 programs a second.
+const TURNS_PER_PROGRAM: u32 = 4;
+/// Delay after which a refused caller retries.
+const RETRY_DELAY_MS: i64 = 900;
+const MAX_ATTEMPTS: u32 = 4;
 const STEP_MS: i64 = 5;
 
-/// What a turn takes, in milliseconds.
+/// How long a turn takes.
 #[derive(Debug, Default, Clone, Copy)]
-struct Pace {
-    alone: i64,
-    /// What each further turn that runs on the same engine adds.
-    each: i64,
+struct TurnCost {
+    alone_ms: i64,
+    /// Time that each other turn running on the same server adds.
+    per_other_turn_ms: i64,
 }
 
-/// Engines whose turns take the same time however many run.
-const STEADY: Pace = Pace {
-    alone: 250,
-    each: 0,
+/// Servers whose turns take the same time however many run.
+const CONSTANT_COST: TurnCost = TurnCost {
+    alone_ms: 250,
+    per_other_turn_ms: 0,
 };
-/// Engines that are slower the more turns they run.
-const SHARED: Pace = Pace {
-    alone: 125,
-    each: 25,
+/// Servers that are slower the more turns they run.
+const SHARED_COST: TurnCost = TurnCost {
+    alone_ms: 125,
+    per_other_turn_ms: 25,
 };
 
-impl Pace {
-    fn turn(self, running: usize) -> i64 {
+impl TurnCost {
+    fn turn_ms(self, running: usize) -> i64 {
         let others = running.clamp(1, SLOTS) - 1;
-        self.alone + self.each * i64::try_from(others).expect("few")
+        self.alone_ms + self.per_other_turn_ms * i64::try_from(others).expect("few")
     }
 
-    /// Time to the target: 1.5 times the time on idle engines, and a quarter of a second.
-    fn target(self) -> i64 {
-        let turns = i64::from(TURNS);
-        (self.alone * turns + PAUSE_MS * (turns - 1)) * 3 / 2 + 250
+    /// Target duration of a program: 1.5 times its duration on idle servers, plus 250 ms.
+    fn target_ms(self) -> i64 {
+        let turns = i64::from(TURNS_PER_PROGRAM);
+        (self.alone_ms * turns + PAUSE_MS * (turns - 1)) * 3 / 2 + 250
     }
 }
 
 #[derive(Debug)]
 struct Program {
-    begun: i64,
+    started_ms: i64,
     turns: u32,
-    tries: u32,
-    ended: Option<i64>,
+    attempts: u32,
+    ended_ms: Option<i64>,
 }
 
 #[derive(Debug)]
 struct Turn {
     permit: Permit,
     program: usize,
-    ends: Option<i64>,
+    ends_ms: Option<i64>,
 }
 
 #[derive(Debug, Default)]
-struct Pool {
+struct Simulation {
     dispatcher: Dispatcher,
-    pace: Pace,
-    /// What engines have got, in the order of arrival; the first ones run.
-    engines: Vec<VecDeque<Turn>>,
+    turn_cost: TurnCost,
+    /// Turns sent to each server in the order of arrival; the first `SLOTS` run.
+    servers: Vec<VecDeque<Turn>>,
     programs: Vec<Program>,
-    /// Turns that are asked for at a time: when, and of which program.
+    /// Turns to request later: time and index of the program.
     due: Vec<(i64, usize)>,
     waiting: Vec<(Permit, usize)>,
     permits: u64,
 }
 
-impl Pool {
-    fn start(begin: Instant, pace: Pace) -> Self {
-        let mut pool = Self {
-            pace,
+impl Simulation {
+    fn start(start: Instant, turn_cost: TurnCost) -> Self {
+        let mut simulation = Self {
+            turn_cost,
             ..Self::default()
         };
-        let description = |engine: usize| server(&engine.to_string(), "z", SLOTS);
-        pool.dispatcher.set_servers((0..ENGINES).map(description));
-        pool.engines.resize_with(ENGINES, VecDeque::new);
-        pool.dispatcher.tick(begin);
-        pool
+        let description = |index: usize| server(&index.to_string(), "z", SLOTS);
+        simulation
+            .dispatcher
+            .set_servers((0..SERVERS).map(description));
+        simulation.servers.resize_with(SERVERS, VecDeque::new);
+        simulation.dispatcher.tick(start);
+        simulation
     }
 
-    fn ask(&mut self, now: Instant, clock: i64, index: usize) {
+    fn request_turn(&mut self, now: Instant, clock_ms: i64, index: usize) {
         self.permits += 1;
         let permit = Permit(self.permits);
         let program = &self.programs[index];
-        let ask = Request {
+        let turn = Request {
             zone: "z".into(),
             program: Some(index as u64),
             turns: program.turns + 1,
-            left_ms: program.begun + self.pace.target() - clock,
+            left_ms: program.started_ms + self.turn_cost.target_ms() - clock_ms,
             session: Some(index as u64),
-            ..ask(0)
+            ..request(0)
         };
-        match self.dispatcher.request(now, permit, ask) {
-            Placement::Granted(engine) => self.send(permit, index, &engine),
+        match self.dispatcher.request(now, permit, turn) {
+            Placement::Granted(server) => self.send(permit, index, &server),
             Placement::Waiting => self.waiting.push((permit, index)),
-            Placement::Refused(_) => self.refused(clock, index),
-            Placement::NoServer => panic!("there are engines"),
+            Placement::Refused(_) => self.retry_later(clock_ms, index),
+            Placement::NoServer => panic!("the service has servers"),
         }
     }
 
-    fn send(&mut self, permit: Permit, program: usize, engine: &Arc<str>) {
-        let engine: usize = engine.parse().expect("a number");
-        self.engines[engine].push_back(Turn {
+    fn send(&mut self, permit: Permit, program: usize, server: &Arc<str>) {
+        let server: usize = server.parse().expect("a number");
+        self.servers[server].push_back(Turn {
             permit,
             program,
-            ends: None,
+            ends_ms: None,
         });
     }
 
-    fn refused(&mut self, clock: i64, index: usize) {
-        self.programs[index].tries += 1;
-        if self.programs[index].tries < TRIES {
-            self.due.push((clock + AGAIN_MS, index));
+    fn retry_later(&mut self, clock_ms: i64, index: usize) {
+        self.programs[index].attempts += 1;
+        if self.programs[index].attempts < MAX_ATTEMPTS {
+            self.due.push((clock_ms + RETRY_DELAY_MS, index));
         }
     }
 
-    fn step(&mut self, now: Instant, clock: i64) {
-        let due: Vec<_> = self.due.extract_if(.., |(at, _)| *at <= clock).collect();
+    fn step(&mut self, now: Instant, clock_ms: i64) {
+        let due: Vec<_> = self.due.extract_if(.., |(at, _)| *at <= clock_ms).collect();
         for (_, index) in due {
-            self.ask(now, clock, index);
+            self.request_turn(now, clock_ms, index);
         }
-        for engine in 0..ENGINES {
-            let took = self.pace.turn(self.engines[engine].len());
-            for turn in self.engines[engine].iter_mut().take(SLOTS) {
-                turn.ends.get_or_insert(clock + took);
+        for server in 0..SERVERS {
+            let took_ms = self.turn_cost.turn_ms(self.servers[server].len());
+            for turn in self.servers[server].iter_mut().take(SLOTS) {
+                turn.ends_ms.get_or_insert(clock_ms + took_ms);
             }
-            let over = |turn: &Turn| turn.ends.is_some_and(|ends| ends <= clock);
-            while let Some(at) = self.engines[engine].iter().position(over) {
-                let turn = self.engines[engine].remove(at).expect("it was found");
-                self.end(now, clock, &turn);
+            let has_ended = |turn: &Turn| turn.ends_ms.is_some_and(|ends_ms| ends_ms <= clock_ms);
+            while let Some(at) = self.servers[server].iter().position(has_ended) {
+                let turn = self.servers[server].remove(at).expect("it was found");
+                self.finish_turn(now, clock_ms, &turn);
             }
         }
         let ticked = self.dispatcher.tick(now);
-        for (permit, engine) in ticked.granted {
-            let at = self.waiting.iter().position(|(of, _)| *of == permit);
+        for (permit, server) in ticked.granted {
+            let at = self
+                .waiting
+                .iter()
+                .position(|(waiting, _)| *waiting == permit);
             let (_, index) = self.waiting.remove(at.expect("it waits"));
-            self.send(permit, index, &engine);
+            self.send(permit, index, &server);
         }
         for permit in ticked.timed_out {
-            let at = self.waiting.iter().position(|(of, _)| *of == permit);
+            let at = self
+                .waiting
+                .iter()
+                .position(|(waiting, _)| *waiting == permit);
             let (_, index) = self.waiting.remove(at.expect("it waits"));
-            self.refused(clock, index);
+            self.retry_later(clock_ms, index);
         }
     }
 
-    fn end(&mut self, now: Instant, clock: i64, turn: &Turn) {
-        let took = Duration::from_millis(self.pace.alone.unsigned_abs());
-        self.dispatcher.finish(now, turn.permit, done(took));
+    fn finish_turn(&mut self, now: Instant, clock_ms: i64, turn: &Turn) {
+        let took = Duration::from_millis(self.turn_cost.alone_ms.unsigned_abs());
+        self.dispatcher.finish(now, turn.permit, completed(took));
         let program = &mut self.programs[turn.program];
         program.turns += 1;
-        if program.turns == TURNS {
-            program.ended = Some(clock);
+        if program.turns == TURNS_PER_PROGRAM {
+            program.ended_ms = Some(clock_ms);
         } else {
-            self.due.push((clock + PAUSE_MS, turn.program));
+            self.due.push((clock_ms + PAUSE_MS, turn.program));
         }
     }
 
-    /// The share of the programs begun between these seconds that made their target.
-    fn in_time(&self, from: i64, to: i64) -> f64 {
-        let begun = |program: &&Program| (from * 1000..to * 1000).contains(&program.begun);
-        let all: Vec<_> = self.programs.iter().filter(begun).collect();
-        let made = all.iter().filter(|program| {
-            let by = program.begun + self.pace.target();
-            program.ended.is_some_and(|ended| ended <= by)
+    /// Share of the programs started between these seconds that met their target.
+    fn on_time_share(&self, from_s: i64, to_s: i64) -> f64 {
+        let in_range =
+            |program: &&Program| (from_s * 1000..to_s * 1000).contains(&program.started_ms);
+        let started: Vec<_> = self.programs.iter().filter(in_range).collect();
+        let on_time = started.iter().filter(|program| {
+            let deadline_ms = program.started_ms + self.turn_cost.target_ms();
+            program
+                .ended_ms
+                .is_some_and(|ended_ms| ended_ms <= deadline_ms)
         });
-        made.count() as f64 / all.len() as f64
+        on_time.count() as f64 / started.len() as f64
     }
 }
 
-/// Programs that come every `usual` ms, and every `busy` ms during a burst.
-fn play(pace: Pace, (usual, busy): (i64, i64), burst: std::ops::Range<i64>, end: i64) -> Pool {
-    let begin = Instant::now();
-    let mut pool = Pool::start(begin, pace);
-    let mut due = 0;
-    for step in 0..(end / STEP_MS) {
-        let clock = step * STEP_MS;
-        let now = begin + Duration::from_millis(clock.unsigned_abs());
-        while due <= clock && clock < end - 4000 {
-            due += if burst.contains(&clock) { busy } else { usual };
-            pool.programs.push(Program {
-                begun: clock,
+/// Simulates programs that arrive every `usual_ms`, and every `burst_ms` during the burst, until `end_ms`.
+fn simulate(
+    turn_cost: TurnCost,
+    (usual_ms, burst_ms): (i64, i64),
+    burst: std::ops::Range<i64>,
+    end_ms: i64,
+) -> Simulation {
+    let start = Instant::now();
+    let mut simulation = Simulation::start(start, turn_cost);
+    let mut next_arrival_ms = 0;
+    for step in 0..(end_ms / STEP_MS) {
+        let clock_ms = step * STEP_MS;
+        let now = start + Duration::from_millis(clock_ms.unsigned_abs());
+        while next_arrival_ms <= clock_ms && clock_ms < end_ms - 4000 {
+            next_arrival_ms += if burst.contains(&clock_ms) {
+                burst_ms
+            } else {
+                usual_ms
+            };
+            simulation.programs.push(Program {
+                started_ms: clock_ms,
                 turns: 0,
-                tries: 0,
-                ended: None,
+                attempts: 0,
+                ended_ms: None,
             });
-            let index = pool.programs.len() - 1;
-            pool.ask(now, clock, index);
+            let index = simulation.programs.len() - 1;
+            simulation.request_turn(now, clock_ms, index);
         }
-        pool.step(now, clock);
+        simulation.step(now, clock_ms);
     }
-    pool
+    simulation
 }
 
-/// Programs come at three quarters of what the engines can do, and at 2.1 times as much for four
-/// seconds. Served in the order of their deadlines, all of them are late from the burst on, for as
-/// long as the load stays as it is. Here a part of the burst is turned away or late, and those that
-/// come some seconds after it are not touched by it.
+/// Guards against a burst at 2.1 times the capacity after which all later programs are late, as they would be if served
+/// by deadline alone.
 #[test]
-fn a_burst_does_not_make_later_programs_late() {
-    let pool = play(STEADY, (27, 10), 6000..10_000, 26_000);
+fn burst_does_not_make_later_programs_late() {
+    let simulation = simulate(CONSTANT_COST, (27, 10), 6000..10_000, 26_000);
     let (before, burst, after) = (
-        pool.in_time(0, 6),
-        pool.in_time(6, 10),
-        pool.in_time(13, 22),
+        simulation.on_time_share(0, 6),
+        simulation.on_time_share(6, 10),
+        simulation.on_time_share(13, 22),
     );
-    assert!(before > 0.95, "{before:.2} before the burst");
-    assert!(burst > 0.3, "{burst:.2} in the burst");
-    assert!(after > 0.9, "{after:.2} after the burst");
+    assert!(before > 0.95, "{before:.2} on time before the burst");
+    assert!(burst > 0.3, "{burst:.2} on time in the burst");
+    assert!(after > 0.9, "{after:.2} on time after the burst");
 }
 
-/// Programs come at half of what the engines can do, and at 1.3 times as much for six seconds. An engine is slower
-/// the more it runs, and runs what it got first. If requests of programs that were not admitted are sent beyond an
-/// engine's places, those that were admitted wait behind them there, and all are late; so is what comes after the burst.
+/// Guards against admitted programs made late, during and after a burst at 1.3 times the capacity, by requests of other
+/// programs sent to servers without a free slot.
 #[test]
-fn a_long_burst_just_over_capacity_leaves_admitted_programs_in_time() {
-    let pool = play(SHARED, (40, 16), 6000..12_000, 26_000);
+fn long_burst_just_over_capacity_keeps_admitted_programs_on_time() {
+    let simulation = simulate(SHARED_COST, (40, 16), 6000..12_000, 26_000);
     let (before, burst, after) = (
-        pool.in_time(0, 6),
-        pool.in_time(6, 12),
-        pool.in_time(12, 22),
+        simulation.on_time_share(0, 6),
+        simulation.on_time_share(6, 12),
+        simulation.on_time_share(12, 22),
     );
-    assert!(before > 0.95, "{before:.2} before the burst");
-    assert!(burst > 0.6, "{burst:.2} in the burst");
-    assert!(after > 0.9, "{after:.2} after the burst");
+    assert!(before > 0.95, "{before:.2} on time before the burst");
+    assert!(burst > 0.6, "{burst:.2} on time in the burst");
+    assert!(after > 0.9, "{after:.2} on time after the burst");
 }
--- a/tests/dispatch_errors.rs
+++ b/tests/dispatch_errors.rs
@@ -1,8 +1,8 @@
-//! Servers that answer with errors at once, beside others that work.
+//! Placement when servers answer with errors immediately.
 
 mod fleet;
 
-use fleet::{ask, done, server};
+use fleet::{completed, request, server};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,38 +10,49 @@
 use vanillatrail::id::Permit;
 use vanillatrail::policy::dispatch::{Dispatcher, Outcome, Placement};
 
-const SERVERS: u64 = 12;
-const TOOK: Duration = Duration::from_millis(120);
-const STEP: Duration = Duration::from_millis(5);
-const STEPS: u32 = 2000;
+const SERVER_COUNT: u64 = 12;
+const ANSWER_TIME: Duration = Duration::from_millis(120);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(5);
+const REQUESTS: u32 = 2000;
 
-/// Sends a request every 5 ms for 10 s. Of each server `errs` tells whether its answer with that number is an error,
-/// which takes 2 ms. Gives how many requests got an answer, and how many an error.
-fn play(errs: impl Fn(&str, u32) -> bool) -> (u32, u32) {
-    let (begun, mut dispatcher) = (Instant::now(), Dispatcher::default());
-    dispatcher.set_servers((0..SERVERS).map(|number| server(&format!("server-{number}"), "z", 6)));
+/// Sends a request every 5 ms for 10 s. `fails` returns whether the answer with this number from this server is an
+/// error, which takes 2 ms. Returns the numbers of answers and of errors among them.
+fn simulate(fails: impl Fn(&str, u32) -> bool) -> (u32, u32) {
+    let (start, mut dispatcher) = (Instant::now(), Dispatcher::default());
+    dispatcher
+        .set_servers((0..SERVER_COUNT).map(|number| server(&format!("server-{number}"), "z", 6)));
     let mut running: VecDeque<(Instant, Permit, Arc<str>)> = VecDeque::new();
     let (mut answered, mut errors) = (0, 0);
-    for step in 0..STEPS {
-        let now = begun + STEP * step;
-        let (over, rest): (Vec<_>, Vec<_>) = running.into_iter().partition(|(at, _, _)| *at <= now);
+    for number in 0..REQUESTS {
+        let now = start + REQUEST_INTERVAL * number;
+        let (ended, rest): (Vec<_>, Vec<_>) = running
+            .into_iter()
+            .partition(|(ends_at, _, _)| *ends_at <= now);
         running = rest.into();
-        for (at, permit, server) in over {
+        for (ended_at, permit, server) in ended {
             answered += 1;
-            let erred = errs(&server, answered);
-            errors += u32::from(erred);
-            dispatcher.finish(at, permit, if erred { Outcome::Error } else { done(TOOK) });
+            let is_error = fails(&server, answered);
+            errors += u32::from(is_error);
+            dispatcher.finish(
+                ended_at,
+                permit,
+                if is_error {
+                    Outcome::Error
+                } else {
+                    completed(ANSWER_TIME)
+                },
+            );
         }
         let mut granted = dispatcher.tick(now).granted;
-        let permit = Permit(u64::from(step));
-        if let Placement::Granted(server) = dispatcher.request(now, permit, ask(0)) {
+        let permit = Permit(u64::from(number));
+        if let Placement::Granted(server) = dispatcher.request(now, permit, request(0)) {
             granted.push((permit, server));
         }
         for (permit, server) in granted {
-            let took = if errs(&server, answered + 1) {
+            let took = if fails(&server, answered + 1) {
                 Duration::from_millis(2)
             } else {
-                TOOK
+                ANSWER_TIME
             };
             running.push_back((now + took, permit, server));
         }
@@ -49,28 +60,27 @@
     (answered, errors)
 }
 
-/// Two of twelve servers answer each request with an error within 2 ms, while the others take 120 ms. Always idle,
-/// they drew nearly all requests, each of which failed its program. Now they rest, and are tried again rarely.
+/// Guards against servers that fail immediately, and so look idle, attracting most requests.
 #[test]
-fn servers_that_err_at_once_do_not_draw_requests() {
-    let (answered, errors) = play(|server, _| server.ends_with("-1") || server.ends_with("-2"));
+fn servers_that_fail_fast_do_not_attract_requests() {
+    let (answered, errors) = simulate(|server, _| server.ends_with("-1") || server.ends_with("-2"));
     assert!(errors * 50 <= answered, "{errors} errors of {answered}");
 }
 
-/// All servers err at each tenth request, as plain services do. None rests, and all requests are answered.
+/// Guards against ejecting servers that all have the same error rate.
 #[test]
-fn errors_that_all_servers_make_rest_none() {
-    let (answered, errors) = play(|_, number| number % 10 == 0);
-    assert!(answered + 60 >= STEPS, "{answered} of {STEPS}");
+fn errors_common_to_all_servers_eject_none() {
+    let (answered, errors) = simulate(|_, number| number % 10 == 0);
+    assert!(answered + 60 >= REQUESTS, "{answered} of {REQUESTS}");
     assert!(errors * 8 <= answered, "{errors} errors of {answered}");
 }
 
-/// A service that errs always is told so to its callers at once: servers do not rest where all are alike.
+/// Guards against requests that wait for ejected servers when all servers of a service fail.
 #[test]
-fn a_service_that_errs_always_answers_at_once() {
-    let (answered, errors) = play(|_, _| true);
+fn errors_of_a_failing_service_are_returned_immediately() {
+    let (answered, errors) = simulate(|_, _| true);
     assert!(
-        answered + 60 >= STEPS && errors == answered,
+        answered + 60 >= REQUESTS && errors == answered,
         "{errors} of {answered}"
     );
 }
--- a/tests/dispatch_large.rs
+++ b/tests/dispatch_large.rs
@@ -2,7 +2,7 @@
 
 mod fleet;
 
-use fleet::{done, server};
+use fleet::{completed, server};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
@@ -14,13 +14,13 @@
 use vanillatrail::policy::dispatch::{Description, Dispatcher, Placement, Request};
 use vanillatrail::policy::prefix::Part;
 
-const ZONES: u64 = 5;
-const VMS: u64 = 1000;
+const ZONE_COUNT: u64 = 5;
+const VM_COUNT: u64 = 1000;
 const SLOTS: usize = 6;
-const TOOK: Duration = Duration::from_millis(150);
+const TURN_TIME: Duration = Duration::from_millis(150);
 
 fn zone(number: u64) -> Arc<str> {
-    format!("zone-{}", number % ZONES).into()
+    format!("zone-{}", number % ZONE_COUNT).into()
 }
 
 fn servers(count: u64) -> impl Iterator<Item = Description> {
@@ -30,129 +30,133 @@
     })
 }
 
-/// A turn of a line: a beginning that all share, and its own part.
-fn ask(vm: u64, line: u64) -> Request {
+/// A turn of a session: a prompt prefix that all sessions share, and a part of its own.
+fn turn(vm: u64, session: u64) -> Request {
     let part = |id, tokens| Part { id, tokens };
     Request {
         zone: zone(vm),
         vm,
-        session: Some(line),
-        prompt: vec![part(1, 512), part(1000 + line, 900)],
-        ..fleet::ask(0)
+        session: Some(session),
+        prompt: vec![part(1, 512), part(1000 + session, 900)],
+        ..fleet::request(0)
     }
 }
 
-/// Guards against decisions whose time grows with the servers of a service.
+/// Guards against placement whose cost grows with the number of servers.
 #[test]
-fn a_decision_weighs_few_servers() {
+fn placement_considers_a_bounded_number_of_servers() {
     for count in [1000, 10_000] {
         let servers: Vec<Description> = servers(count).collect();
         let mut candidates = Candidates::default();
         candidates.configure(servers.iter().map(|server| (&server.id, &server.zone)));
         for number in 0..2000 {
-            let ask = ask(number % 10, number % 50);
-            let chosen = candidates.select(Permit(number), &ask, None);
+            let turn = turn(number % 10, number % 50);
+            let chosen = candidates.select(Permit(number), &turn, None);
             assert!(
                 (10..=40).contains(&chosen.len()),
                 "{} of {count}",
                 chosen.len()
             );
             let server = &servers[chosen[0]].id;
-            candidates.record_use(ask.vm, server);
-            candidates.record_prompt(&ask.prompt, server);
+            candidates.record_use(turn.vm, server);
+            candidates.record_prompt(&turn.prompt, server);
         }
     }
 }
 
-/// What became of the turns.
+/// Where the turns were placed.
 #[derive(Debug, Default)]
-struct Tally {
+struct Placements {
     turns: u64,
-    far: u64,
-    /// Turns that went to the server that read their line before.
-    read_before: u64,
-    /// The most that one server ran at a time.
-    busiest: usize,
+    /// Turns placed outside their zone.
+    other_zone: u64,
+    /// Turns placed on the server of the previous turn of their session.
+    same_server: u64,
+    /// Most turns that one server ran at a time.
+    max_running: usize,
 }
 
-/// Turns of 1,500 lines, `rate` a second, before `count` servers.
-fn replay(count: u64, rate: u64) -> Tally {
+/// Places turns of 1,500 sessions for 10 s on `server_count` servers.
+fn simulate(server_count: u64, turns_per_second: u64) -> Placements {
     let mut rng = StdRng::seed_from_u64(7);
     let mut dispatcher = Dispatcher::default();
-    dispatcher.set_servers(servers(count));
-    let zones: HashMap<Arc<str>, Arc<str>> = servers(count)
+    dispatcher.set_servers(servers(server_count));
+    let zones: HashMap<Arc<str>, Arc<str>> = servers(server_count)
         .map(|server| (server.id, server.zone))
         .collect();
-    let begin = Instant::now();
-    let step = Duration::from_secs(1) / u32::try_from(rate).expect("small");
-    let mut tally = Tally::default();
+    let start = Instant::now();
+    let step = Duration::from_secs(1) / u32::try_from(turns_per_second).expect("small");
+    let mut placements = Placements::default();
     let mut running: Vec<(Instant, Permit, Arc<str>)> = Vec::new();
-    let mut at: BTreeMap<Arc<str>, usize> = BTreeMap::new();
-    let mut lines: HashMap<u64, Arc<str>> = HashMap::new();
-    for number in 0..rate * 10 {
-        let now = begin + step * u32::try_from(number).expect("small");
+    let mut running_by_server: BTreeMap<Arc<str>, usize> = BTreeMap::new();
+    let mut last_servers: HashMap<u64, Arc<str>> = HashMap::new();
+    for number in 0..turns_per_second * 10 {
+        let now = start + step * u32::try_from(number).expect("small");
         while let Some((_, permit, server)) = running.pop_if(|(end, ..)| *end <= now) {
-            dispatcher.finish(now, permit, done(TOOK));
-            *at.entry(server).or_default() -= 1;
+            dispatcher.finish(now, permit, completed(TURN_TIME));
+            *running_by_server.entry(server).or_default() -= 1;
         }
-        let line = rng.random_range(0..1500);
-        let vm = line % VMS;
-        let Placement::Granted(server) = dispatcher.request(now, Permit(number), ask(vm, line))
+        let session = rng.random_range(0..1500);
+        let vm = session % VM_COUNT;
+        let Placement::Granted(server) = dispatcher.request(now, Permit(number), turn(vm, session))
         else {
-            panic!("there is room");
+            panic!("no free slot");
         };
-        tally.turns += 1;
-        tally.far += u64::from(zones[&server] != zone(vm));
-        let before = lines.insert(line, Arc::clone(&server));
-        tally.read_before += u64::from(before.as_ref() == Some(&server));
-        let runs = at.entry(Arc::clone(&server)).or_default();
-        *runs += 1;
-        tally.busiest = tally.busiest.max(*runs);
-        running.insert(0, (now + TOOK, Permit(number), server));
+        placements.turns += 1;
+        placements.other_zone += u64::from(zones[&server] != zone(vm));
+        let previous = last_servers.insert(session, Arc::clone(&server));
+        placements.same_server += u64::from(previous.as_ref() == Some(&server));
+        let running_here = running_by_server.entry(Arc::clone(&server)).or_default();
+        *running_here += 1;
+        placements.max_running = placements.max_running.max(*running_here);
+        running.insert(0, (now + TURN_TIME, Permit(number), server));
     }
-    tally
+    placements
 }
 
-/// Guards against servers that are full beside idle ones, prompts that are read again, and requests that leave their
-/// zone, where only some servers are weighed.
+/// Guards against overloaded servers next to idle ones, lost prefix caches and requests that leave their zone when only
+/// some servers are considered.
 #[test]
 fn the_few_that_are_weighed_are_good_ones() {
-    let tally = replay(4000, 600);
-    // Some go where the beginning that all share is kept already.
-    assert!(tally.far * 20 <= tally.turns, "{tally:?}");
-    assert!(tally.busiest <= SLOTS, "{tally:?}");
-    // Each line is new once.
+    let placements = simulate(4000, 600);
+    // Some turns go to another zone where the shared prefix is cached.
     assert!(
-        tally.read_before * 100 >= (tally.turns - 1500) * 95,
-        "{tally:?}"
+        placements.other_zone * 20 <= placements.turns,
+        "{placements:?}"
+    );
+    assert!(placements.max_running <= SLOTS, "{placements:?}");
+    // The first turn of a session has no previous server.
+    assert!(
+        placements.same_server * 100 >= (placements.turns - 1500) * 95,
+        "{placements:?}"
     );
 }
 
-/// Guards against requests to servers that have left, or that get none, after changes one by one.
+/// Guards against requests to removed or draining servers, or servers without requests, after single updates.
 #[test]
-fn servers_come_and_go_one_by_one() {
+fn incremental_server_updates_match_the_live_servers() {
     let mut rng = StdRng::seed_from_u64(11);
     let mut dispatcher = Dispatcher::default();
     let mut live: BTreeMap<Arc<str>, Description> = BTreeMap::new();
     let all: Vec<Description> = servers(600).collect();
     for _ in 0..5000 {
-        let about = &all[rng.random_range(0..all.len())];
+        let server = &all[rng.random_range(0..all.len())];
         match rng.random_range(0..4) {
             0 => {
-                dispatcher.remove_server("pool", &about.id);
-                live.remove(&about.id);
+                dispatcher.remove_server("pool", &server.id);
+                live.remove(&server.id);
             }
             1 => {
-                let leaving = Description {
+                let draining = Description {
                     draining: true,
-                    ..about.clone()
+                    ..server.clone()
                 };
-                dispatcher.update_server(leaving.clone());
-                live.insert(Arc::clone(&about.id), leaving);
+                dispatcher.update_server(draining.clone());
+                live.insert(Arc::clone(&server.id), draining);
             }
             _ => {
-                dispatcher.update_server(about.clone());
-                live.insert(Arc::clone(&about.id), about.clone());
+                dispatcher.update_server(server.clone());
+                live.insert(Arc::clone(&server.id), server.clone());
             }
         }
     }
@@ -162,16 +166,16 @@
     let mut used = std::collections::BTreeSet::new();
     let now = Instant::now();
     for number in 0..20_000 {
-        let ask = Request {
+        let turn = Request {
             prompt: Vec::new(),
-            ..ask(number, number)
+            ..turn(number, number)
         };
-        let Placement::Granted(server) = dispatcher.request(now, Permit(number), ask) else {
-            panic!("there is room");
+        let Placement::Granted(server) = dispatcher.request(now, Permit(number), turn) else {
+            panic!("no free slot");
         };
         assert!(!live[&server].draining);
         used.insert(server);
-        dispatcher.finish(now, Permit(number), done(TOOK));
+        dispatcher.finish(now, Permit(number), completed(TURN_TIME));
     }
     assert!(used.len() >= 100, "{}", used.len());
 }
--- a/tests/dispatch_many.rs
+++ b/tests/dispatch_many.rs
@@ -1,8 +1,8 @@
-//! Where requests go when hundreds of VMs send few each to many servers.
+//! Placement when hundreds of VMs send few requests each to many servers.
 
 mod fleet;
 
-use fleet::{done, server};
+use fleet::{completed, server};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
@@ -12,94 +12,96 @@
 use vanillatrail::id::Permit;
 use vanillatrail::policy::dispatch::{Description, Dispatcher, Placement, Request};
 
-const VMS: u64 = 300;
-const ZONES: u64 = 5;
-const SERVERS: u64 = 80;
+const VM_COUNT: u64 = 300;
+const ZONE_COUNT: u64 = 5;
+const SERVER_COUNT: u64 = 80;
 const SLOTS: usize = 6;
-/// Requests in a second, of which a server takes 150 ms each: a third of all places.
-const RATE: u64 = 1000;
-const TOOK: Duration = Duration::from_millis(150);
-const LENGTH: Duration = Duration::from_secs(20);
-/// How long a server keeps a connection that is idle.
-const KEPT: Duration = Duration::from_secs(5);
+/// Keeps about a third of all slots busy.
+const REQUESTS_PER_SECOND: u64 = 1000;
+const REQUEST_TIME: Duration = Duration::from_millis(150);
+const SIMULATED_TIME: Duration = Duration::from_secs(20);
+/// Time after which a server closes an idle connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn zone(number: u64) -> Arc<str> {
-    format!("zone-{}", number % ZONES).into()
+    format!("zone-{}", number % ZONE_COUNT).into()
 }
 
 fn servers() -> impl Iterator<Item = Description> {
-    (0..SERVERS).map(|number| server(&format!("server-{number}"), &zone(number), SLOTS))
+    (0..SERVER_COUNT).map(|number| server(&format!("server-{number}"), &zone(number), SLOTS))
 }
 
-fn ask(vm: u64) -> Request {
+fn request(vm: u64) -> Request {
     Request {
         zone: zone(vm),
         vm,
-        ..fleet::ask(0)
+        ..fleet::request(0)
     }
 }
 
-/// What became of the requests.
+/// Where the requests were placed.
 #[derive(Debug, Default)]
-struct Tally {
+struct Placements {
     sent: u64,
-    /// Requests for which their VM had no connection open.
-    opened: u64,
-    /// Requests that left their zone.
-    far: u64,
+    /// Requests for which the VM had no idle connection.
+    new_connections: u64,
+    /// Requests placed outside their zone.
+    other_zone: u64,
     by_server: BTreeMap<Arc<str>, u64>,
 }
 
-fn replay(seed: u64) -> Tally {
+fn simulate(seed: u64) -> Placements {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_servers(servers());
-    let begin = Instant::now();
-    let mut tally = Tally::default();
+    let start = Instant::now();
+    let mut placements = Placements::default();
     let mut running: Vec<(Instant, Permit, u64, Arc<str>)> = Vec::new();
     let mut idle: HashMap<(u64, Arc<str>), Vec<Instant>> = HashMap::new();
     let zones: HashMap<Arc<str>, Arc<str>> =
         servers().map(|server| (server.id, server.zone)).collect();
-    let step = Duration::from_secs(1) / u32::try_from(RATE).expect("small");
-    for number in 0..RATE * LENGTH.as_secs() {
-        let now = begin + step * u32::try_from(number).expect("small");
+    let step = Duration::from_secs(1) / u32::try_from(REQUESTS_PER_SECOND).expect("small");
+    for number in 0..REQUESTS_PER_SECOND * SIMULATED_TIME.as_secs() {
+        let now = start + step * u32::try_from(number).expect("small");
         while let Some((_, permit, vm, server)) = running.pop_if(|(end, ..)| *end <= now) {
-            dispatcher.finish(now, permit, done(TOOK));
+            dispatcher.finish(now, permit, completed(REQUEST_TIME));
             idle.entry((vm, server)).or_default().push(now);
         }
-        let vm = rng.random_range(0..VMS);
-        let Placement::Granted(server) = dispatcher.request(now, Permit(number), ask(vm)) else {
-            panic!("there is room");
+        let vm = rng.random_range(0..VM_COUNT);
+        let Placement::Granted(server) = dispatcher.request(now, Permit(number), request(vm))
+        else {
+            panic!("no free slot");
         };
-        tally.sent += 1;
-        let open = idle.entry((vm, Arc::clone(&server))).or_default();
-        open.retain(|since| *since + KEPT > now);
-        tally.opened += u64::from(open.pop().is_none());
-        tally.far += u64::from(zones[&server] != zone(vm));
-        *tally.by_server.entry(Arc::clone(&server)).or_default() += 1;
-        running.insert(0, (now + TOOK, Permit(number), vm, server));
+        placements.sent += 1;
+        let connections = idle.entry((vm, Arc::clone(&server))).or_default();
+        connections.retain(|idle_since| *idle_since + IDLE_TIMEOUT > now);
+        placements.new_connections += u64::from(connections.pop().is_none());
+        placements.other_zone += u64::from(zones[&server] != zone(vm));
+        *placements.by_server.entry(Arc::clone(&server)).or_default() += 1;
+        running.insert(0, (now + REQUEST_TIME, Permit(number), vm, server));
     }
-    tally
+    placements
 }
 
-/// 300 VMs send three requests a second each to 80 servers, a third of whose places are taken. Each VM could
-/// use all servers by turns, and would open a connection for half of its requests, most of them to another
-/// zone. It stays with the few that it has connections to while these have room, and no server is left with
-/// much more than its part of the load.
+/// Guards against VMs that use all servers in turn, open a connection for most requests and leave their zone, and
+/// against uneven load from keeping to a few servers.
 #[test]
-fn few_connections_are_opened_and_few_requests_leave_their_zone() {
-    let tally = replay(1);
-    let opened = tally.opened as f64 / tally.sent as f64;
-    let far = tally.far as f64 / tally.sent as f64;
-    let mean = tally.sent as f64 / SERVERS as f64;
-    let busiest = *tally.by_server.values().max().expect("some") as f64 / mean;
+fn vms_reuse_connections_and_stay_in_their_zone() {
+    let placements = simulate(1);
+    let new_connections = placements.new_connections as f64 / placements.sent as f64;
+    let other_zone = placements.other_zone as f64 / placements.sent as f64;
+    let mean = placements.sent as f64 / SERVER_COUNT as f64;
+    let busiest = *placements.by_server.values().max().expect("some") as f64 / mean;
     assert!(
-        opened < 0.15,
-        "{opened:.3} of the requests open a connection"
+        new_connections < 0.15,
+        "{new_connections:.3} of the requests open a connection"
+    );
+    assert!(
+        other_zone < 0.02,
+        "{other_zone:.3} of the requests leave their zone"
     );
-    assert!(far < 0.02, "{far:.3} of the requests leave their zone");
     assert!(
         busiest < 1.35,
-        "the busiest server has {busiest:.2} times its part"
+        "the busiest server has {busiest:.2} times the mean load"
     );
 }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,11 +1,11 @@
-//! Servers and requests for tests of the dispatcher.
+//! Server descriptions, requests and outcomes for tests of the dispatcher.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::time::Duration;
 use vanillatrail::policy::dispatch::{Description, Outcome, Request};
 
-/// A server that keeps prompts and takes new requests.
+/// A server with a prefix cache that is not draining.
 pub fn server(id: &str, zone: &str, slots: usize) -> Description {
     Description {
         id: id.into(),
@@ -17,8 +17,8 @@
     }
 }
 
-/// A request of a route of this rank that is part of no program.
-pub fn ask(rank: u8) -> Request {
+/// A request of this priority rank that belongs to no program.
+pub fn request(rank: u8) -> Request {
     Request {
         service: "pool".into(),
         zone: "a".into(),
@@ -34,8 +34,8 @@
     }
 }
 
-/// An answer after this time, from a server that says nothing of its load.
-pub const fn done(took: Duration) -> Outcome {
+/// A successful answer after this time, from a server that does not report its load.
+pub const fn completed(took: Duration) -> Outcome {
     Outcome::Done {
         took,
         work: 1.0,
--- a/tests/member_handover.rs
+++ b/tests/member_handover.rs
@@ -1,4 +1,4 @@
-//! Who takes a shard over, and when one is handed over to even out the load.
+//! Which VM claims a shard without an owner, and when shards are handed over to balance the load.
 
 use std::time::Duration;
 use tokio::time::Instant;
@@ -11,7 +11,7 @@
     name.parse().expect("a plain name")
 }
 
-fn sighting(name: &str, shards: std::ops::Range<u64>) -> Claims {
+fn claims_of(name: &str, shards: std::ops::Range<u64>) -> Claims {
     Claims {
         vm: vm(name),
         eligible: true,
@@ -19,22 +19,22 @@
     }
 }
 
-/// Runs a claimer of `vm-a` that holds all of 12 shards for a while, beside two others that have
-/// none; `seen` tells whether those are seen at a time. Gives the times of the hand-overs.
-fn handed(time: Duration, seen: impl Fn(Duration) -> bool) -> Vec<Duration> {
+/// Runs the claimer of `vm-a`, which owns all 12 shards, next to two VMs that own none. `are_visible` returns whether
+/// `vm-a` sees these at a time. Returns the times of the handovers.
+fn handover_times(duration: Duration, are_visible: impl Fn(Duration) -> bool) -> Vec<Duration> {
     let mut claimer = Claimer::new(vm("vm-a"), 12);
     let start = Instant::now();
-    let mut held = 12;
+    let mut owned_count = 12;
     let mut times = Vec::new();
     let mut at = Duration::ZERO;
-    while at < time {
-        let mut members = vec![sighting("vm-a", 0..held)];
-        if seen(at) {
-            members.extend([sighting("vm-b", 12..12), sighting("vm-c", 12..12)]);
+    while at < duration {
+        let mut members = vec![claims_of("vm-a", 0..owned_count)];
+        if are_visible(at) {
+            members.extend([claims_of("vm-b", 12..12), claims_of("vm-c", 12..12)]);
         }
         if let Some((shard, to)) = claimer.shard_to_hand_over(start + at, &members, |_| true) {
-            assert!(shard.0 < held && to != vm("vm-a"));
-            held -= 1;
+            assert!(shard.0 < owned_count && to != vm("vm-a"));
+            owned_count -= 1;
             times.push(at);
         }
         at += STEP;
@@ -42,31 +42,30 @@
     times
 }
 
-/// New VMs join a group whose shards all belong to one. Callers of each moved shard wait for one
-/// takeover, so shards move one at a time, with a pause between, and only down to an even share.
+/// Guards against handing over many shards at once, or more than an even share, when new VMs join. Callers of a moved
+/// shard wait for its takeover.
 #[test]
-fn shards_move_to_new_vms_one_at_a_time() {
-    let times = handed(Duration::from_mins(5), |_| true);
-    assert_eq!(times.len(), 8, "12 shards over 3 VMs leave 4 here");
+fn shards_are_handed_to_new_vms_one_at_a_time() {
+    let times = handover_times(Duration::from_mins(5), |_| true);
+    assert_eq!(times.len(), 8, "an even share of 12 shards on 3 VMs is 4");
     assert!(times[0] >= Duration::from_secs(30));
-    let apart = |pair: &[Duration]| pair[1] >= pair[0] + Duration::from_secs(5);
-    assert!(times.windows(2).all(apart), "{times:?}");
+    let is_spaced = |pair: &[Duration]| pair[1] >= pair[0] + Duration::from_secs(5);
+    assert!(times.windows(2).all(is_spaced), "{times:?}");
 }
 
-/// A VM that comes and goes every ten seconds would take shards and lose them again, each time at
-/// the cost of a takeover. It is never seen for long enough, so nothing moves.
+/// Guards against handing shards to a VM that joins and leaves every ten seconds, at the cost of a takeover each time.
 #[test]
-fn a_flapping_vm_is_handed_nothing() {
+fn flapping_vm_gets_no_shards() {
     let flapping = |at: Duration| at.as_secs() % 10 < 8;
-    assert!(handed(Duration::from_mins(10), flapping).is_empty());
+    assert!(handover_times(Duration::from_mins(10), flapping).is_empty());
 }
 
-/// A shard with a call under way stays, and one without is handed over in its place.
+/// Guards against handing over a shard with a call in flight.
 #[test]
-fn a_busy_shard_stays() {
+fn shard_with_a_call_in_flight_is_not_handed_over() {
     let mut claimer = Claimer::new(vm("vm-a"), 4);
     let start = Instant::now();
-    let members = [sighting("vm-a", 0..4), sighting("vm-b", 4..4)];
+    let members = [claims_of("vm-a", 0..4), claims_of("vm-b", 4..4)];
     assert!(
         claimer
             .shard_to_hand_over(start, &members, |_| true)
@@ -78,26 +77,27 @@
             .shard_to_hand_over(later, &members, |_| false)
             .is_none()
     );
-    let spare = claimer.shard_to_hand_over(later, &members, |shard| shard == Shard(2));
-    assert_eq!(spare, Some((Shard(2), vm("vm-b"))));
+    let handover = claimer.shard_to_hand_over(later, &members, |shard| shard == Shard(2));
+    assert_eq!(handover, Some((Shard(2), vm("vm-b"))));
 }
 
-/// The owner of a shard dies. The first in rank claims it after a short wait, the others only if
-/// the first does not, so that one takeover happens and not one at every VM.
+/// Guards against a takeover by every VM when the owner of a shard dies. The first in rank claims after a short wait,
+/// the others only if it does not.
 #[test]
-fn the_first_in_rank_claims_and_the_others_wait() {
+fn claims_are_staggered_by_rank() {
     let names = ["vm-a", "vm-b", "vm-c"];
-    let members: Vec<Claims> = names.iter().map(|name| sighting(name, 0..0)).collect();
+    let members: Vec<Claims> = names.iter().map(|name| claims_of(name, 0..0)).collect();
     let start = Instant::now();
     let waits = names.map(|name| {
         let mut claimer = Claimer::new(vm(name), 1);
         let steps = (0..100).map(|step| STEP * step);
-        let mut due = steps.filter(|at| !claimer.shards_to_claim(start + *at, &members).is_empty());
-        due.next().expect("it claims in the end")
+        let mut claim_times =
+            steps.filter(|at| !claimer.shards_to_claim(start + *at, &members).is_empty());
+        claim_times.next().expect("it claims the shard within 10 s")
     });
     let mut sorted = waits;
     sorted.sort();
     assert!(sorted[0] <= Duration::from_millis(500));
-    let apart = |pair: &[Duration]| pair[1] >= pair[0] + Duration::from_millis(500);
-    assert!(sorted.windows(2).all(apart), "{sorted:?}");
+    let is_spaced = |pair: &[Duration]| pair[1] >= pair[0] + Duration::from_millis(500);
+    assert!(sorted.windows(2).all(is_spaced), "{sorted:?}");
 }
