--- a/src/gateway/world/relay/mod.rs
+++ b/src/gateway/world/relay/mod.rs
@@ -134,11 +134,11 @@
                 routing.changes.restart(until);
                 return true;
             }
-            let changed = !changes.is_empty();
+            let has_changes = !changes.is_empty();
             for (offset, change) in changes {
                 routing.changes.push(offset, change);
             }
-            changed
+            has_changes
         });
     }
 
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, as an operator uses it on the built binary.
+//! Command line of the built binary.
 
 mod support;
 
@@ -16,32 +16,32 @@
         .expect("the binary runs")
 }
 
-/// The exit code and what was written, errors after the rest.
-fn told(arguments: &[&str]) -> (i32, String) {
+/// Returns the exit code and the output, with standard error after standard output.
+fn run_text(arguments: &[&str]) -> (i32, String) {
     let output = run(arguments);
     let text = [output.stdout, output.stderr].concat();
     let text = String::from_utf8(text).expect("text");
     assert!(
         !text.contains('\u{1b}'),
-        "colours without a terminal: {text:?}"
+        "colors without a terminal: {text:?}"
     );
     (output.status.code().expect("no signal"), text)
 }
 
-fn json_of(arguments: &[&str]) -> Value {
+fn run_json(arguments: &[&str]) -> Value {
     let output = run(arguments);
     let text = String::from_utf8(output.stdout).expect("text");
     serde_json::from_str(&text).expect("JSON")
 }
 
-fn file(dir: &TempDir, name: &str, value: &Value) -> String {
+fn write_file(dir: &TempDir, name: &str, value: &Value) -> String {
     let path: PathBuf = dir.path().join(name);
-    std::fs::write(&path, value.to_string()).expect("the folder is ours");
+    std::fs::write(&path, value.to_string()).expect("the folder is writable");
     path.to_string_lossy().into_owned()
 }
 
 #[test]
-fn check_names_the_path_and_the_code_of_each_fault() {
+fn check_reports_path_and_code_of_each_fault() {
     let dir = tempfile::tempdir().expect("a temporary folder");
     let config = json!({
         "class/quick": { "target_ms": "soon" },
@@ -49,8 +49,8 @@
         "class/good": { "target_ms": 5000 },
         "service/filing": { "servers": [], "operations": { "receipt": { "mode": "twice" } } },
     });
-    let path = file(&dir, "config.json", &config);
-    let (code, text) = told(&["check", "--config", &path]);
+    let path = write_file(&dir, "config.json", &config);
+    let (code, text) = run_text(&["check", "--config", &path]);
     assert_eq!(code, 2, "{text}");
     for fault in [
         "VT5003: class/quick at `target_ms`",
@@ -60,27 +60,27 @@
         assert!(text.contains(fault), "{fault} not in {text}");
     }
     assert!(!text.contains("class/good"), "{text}");
-    let report = json_of(&["check", "--config", "--json", &path]);
+    let report = run_json(&["check", "--config", "--json", &path]);
     assert_eq!(
         report["faults"].as_array().map(Vec::len),
         Some(3),
         "{report}"
     );
 
-    let settings = file(&dir, "vm.json", &json!({ "vm": "vm-a", "zone": 3 }));
-    let (code, text) = told(&["check", &settings]);
+    let settings = write_file(&dir, "vm.json", &json!({ "vm": "vm-a", "zone": 3 }));
+    let (code, text) = run_text(&["check", &settings]);
     assert_eq!(code, 2, "{text}");
     assert!(text.contains("VT5001: at `zone`"), "{text}");
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/settings/vm-a.json");
-    assert_eq!(told(&["check", example]).0, 0);
+    assert_eq!(run_text(&["check", example]).0, 0);
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
-    assert_eq!(told(&["check", "--config", example]).0, 0);
+    assert_eq!(run_text(&["check", "--config", example]).0, 0);
 }
 
 #[test]
-fn completions_and_manual_pages_are_made() {
+fn completions_and_manual_pages_are_generated() {
     for shell in ["bash", "zsh", "fish"] {
-        let (code, text) = told(&["completions", shell]);
+        let (code, text) = run_text(&["completions", shell]);
         assert_eq!(code, 0, "{text}");
         assert!(
             text.contains("vanillatrail") && text.contains("trial"),
@@ -88,25 +88,23 @@
         );
     }
     let dir = tempfile::tempdir().expect("a temporary folder");
-    let (code, _) = told(&["man", "--out", &dir.path().to_string_lossy()]);
+    let (code, _) = run_text(&["man", "--out", &dir.path().to_string_lossy()]);
     assert_eq!(code, 0);
     let page = std::fs::read_to_string(dir.path().join("vanillatrail-config-apply.1"));
     assert!(page.expect("a page").contains(r"\-\-base"));
-    let (code, text) = told(&["--help"]);
+    let (code, text) = run_text(&["--help"]);
     assert_eq!(code, 0);
     assert!(text.contains("Exit codes"), "{text}");
-    assert_eq!(told(&["trial", "--programs", "many"]).0, 2);
+    assert_eq!(run_text(&["trial", "--programs", "many"]).0, 2);
 }
 
-/// Two operators look at the configuration at one offset. The first changes a class and sees on
-/// how many VMs the change is in force; the second, who changes the same class from the older
-/// offset, is refused and told so, while a key that nobody touched still goes through.
+/// Guards against a lost update by a change based on an older offset, and against refusing its other keys with it.
 #[test]
-fn config_is_shown_applied_and_judged() {
+fn config_changes_are_applied_or_refused_by_key() {
     let environment = Environment::start(1, 3);
     let dir = tempfile::tempdir().expect("a temporary folder");
     let log = format!("http://{}", environment.log.address);
-    let show = || json_of(&["config", "show", "--json", "--log", &log]);
+    let show = || run_json(&["config", "show", "--json", "--log", &log]);
     let before = show();
     let base = before["applied"].as_u64().expect("an offset").to_string();
     assert_eq!(
@@ -114,7 +112,7 @@
         "{before}"
     );
 
-    let change = file(
+    let change = write_file(
         &dir,
         "a.json",
         &json!({ "class/quick": { "target_ms": 4000 } }),
@@ -129,14 +127,14 @@
     for vm in &vms {
         apply.extend(["--wait", vm]);
     }
-    let (code, text) = told(&apply);
+    let (code, text) = run_text(&apply);
     assert_eq!(code, 0, "{text}");
     assert!(text.contains("class/quick by ama: accepted"), "{text}");
     assert!(text.contains("in force on 3 of 3 VMs"), "{text}");
 
     let late = json!({ "class/quick": { "target_ms": 3000 }, "class/new": { "target_ms": 100 } });
-    let late = file(&dir, "b.json", &late);
-    let (code, text) = told(&[
+    let late = write_file(&dir, "b.json", &late);
+    let (code, text) = run_text(&[
         "config", "apply", &late, "--log", &log, "--base", &base, "--by", "rui",
     ]);
     assert_eq!(code, 5, "{text}");
@@ -148,43 +146,43 @@
     assert_eq!(show()["values"]["class/quick"]["target_ms"], 4000);
     assert_eq!(show()["values"]["class/new"]["target_ms"], 100);
 
-    let (code, text) = told(&["config", "apply", &change, "--log", &log]);
+    let (code, text) = run_text(&["config", "apply", &change, "--log", &log]);
     assert_eq!((code, text.as_str()), (0, "nothing differs\n"));
-    let (code, text) = told(&["config", "history", "--log", &log]);
+    let (code, text) = run_text(&["config", "history", "--log", &log]);
     assert_eq!(code, 0, "{text}");
     assert!(
         text.contains("class/quick by rui: refused VT5002"),
         "{text}"
     );
 
-    let malformed = file(
+    let malformed = write_file(
         &dir,
         "c.json",
         &json!({ "class/quick": { "target_ms": 0 } }),
     );
-    let (code, text) = told(&["config", "apply", &malformed, "--log", &log]);
+    let (code, text) = run_text(&["config", "apply", &malformed, "--log", &log]);
     assert_eq!(code, 2, "{text}");
-    let nobody = support::free_address();
-    let (code, text) = told(&["config", "show", "--log", &format!("http://{nobody}")]);
+    let unreachable = support::free_address();
+    let (code, text) = run_text(&["config", "show", "--log", &format!("http://{unreachable}")]);
     assert_eq!(code, 4, "{text}");
-    let vm = nobody.to_string();
+    let vm = unreachable.to_string();
     let mut apply = vec!["config", "apply", &malformed, "--log", &log, "--wait", &vm];
-    let removal = file(&dir, "d.json", &json!({ "class/new": null }));
+    let removal = write_file(&dir, "d.json", &json!({ "class/new": null }));
     apply[2] = &removal;
     apply.extend(["--wait-ms", "300"]);
-    let (code, text) = told(&apply);
+    let (code, text) = run_text(&apply);
     assert_eq!(code, 1, "{text}");
     assert!(text.contains("in force on 0 of 1 VMs"), "{text}");
 }
 
-/// A service stops answering. The caller's program waits, and an operator asks why: the answer
-/// names the call, what it waits for and the owner, at each stage of the program's life.
+/// Guards against a `why` that does not name what a program waits for at each stage, such as a service that does not
+/// answer.
 #[test]
-fn a_program_is_driven_and_its_wait_explained() {
+fn why_explains_what_a_program_waits_for() {
     let environment = Environment::start(1, 2);
     let vm = environment.vms[1].callers.to_string();
     let operators = environment.vms[0].operators.to_string();
-    let program = |arguments: &[&str]| told(&[&["program", "--vm", &vm], arguments].concat());
+    let program = |arguments: &[&str]| run_text(&[&["program", "--vm", &vm], arguments].concat());
 
     let open = [
         "open", "--class", "quick", "--key", "by-hand", "--tokens", "5000",
@@ -248,7 +246,7 @@
 }
 
 #[test]
-fn state_sums_up_and_dumps() {
+fn state_prints_summary_and_json() {
     let environment = Environment::start(1, 2);
     let program = environment.open(0, "quick", "seen", 5000);
     let vms: Vec<String> = environment
@@ -256,12 +254,12 @@
         .iter()
         .map(|vm| vm.operators.to_string())
         .collect();
-    let (code, text) = told(&["state", &vms[0], &vms[1]]);
+    let (code, text) = run_text(&["state", &vms[0], &vms[1]]);
     assert_eq!(code, 0, "{text}");
     assert!(text.contains("vm-0 in zone-0: ready"), "{text}");
     assert!(text.contains("1 programs open"), "{text}");
     let owner = environment.owner(&program);
-    let dump = json_of(&["state", "--json", &vms[owner]]);
+    let dump = run_json(&["state", "--json", &vms[owner]]);
     let state = &dump[&vms[owner]];
     for part in ["local", "view", "config", "dispatch", "owner"] {
         assert!(state[part].is_object(), "{part} in {state}");
@@ -271,11 +269,11 @@
         .values()
         .filter_map(|shard| shard["open_programs"].get(&program));
     assert_eq!(open.next().expect("the program")["next_call"], 1, "{state}");
-    let nobody = support::free_address().to_string();
-    let (code, text) = told(&["state", &vms[0], &nobody]);
+    let unreachable = support::free_address().to_string();
+    let (code, text) = run_text(&["state", &vms[0], &unreachable]);
     assert_eq!(code, 4, "{text}");
     assert!(
         text.contains("vm-0 in zone-0"),
-        "the others are still told: {text}"
+        "the reachable VM is missing: {text}"
     );
 }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: one verdict everywhere, in force within seconds, never reverted.
+//! Configuration changes: all VMs accept the same ones, apply them within seconds and never revert them.
 
 mod support;
 
@@ -15,10 +15,9 @@
         .into_bytes()
 }
 
-/// Two operators change one class, both based on the same offset. The first in the stream wins;
-/// the second is refused with the offset that beat it, and its value is never in force.
+/// Guards against a lost update: of two changes based on the same offset, only the first in the stream is accepted.
 #[test]
-fn of_two_racing_operators_one_wins() {
+fn second_of_two_concurrent_changes_is_refused() {
     let mut book = Book::default();
     book.take(Offset(0), &change("class/quick", 900, None, None));
     let first = book.take(Offset(1), &change("class/quick", 800, Some(0), None));
@@ -32,14 +31,13 @@
     assert_eq!(book.snapshot().classes[&class].target_ms, 800);
 }
 
-/// The reply of a published change is lost, so the operator publishes it again. The copy is told
-/// as a repetition: it has not lost a race, and it does not undo what another has changed since.
+/// Guards against a retry of a published change that is reported as a conflict, or undoes a later change.
 #[test]
-fn a_change_published_twice_counts_once() {
+fn republished_change_is_applied_once() {
     let mut book = Book::default();
     book.take(Offset(0), &change("class/quick", 900, None, Some("c1")));
-    let copy = book.take(Offset(1), &change("class/quick", 900, None, Some("c1")));
-    assert_eq!(copy.ruling, Ruling::Repeated(Offset(0)));
+    let repeated = book.take(Offset(1), &change("class/quick", 900, None, Some("c1")));
+    assert_eq!(repeated.ruling, Ruling::Repeated(Offset(0)));
     book.take(Offset(2), &change("class/quick", 800, Some(0), Some("c2")));
     let late = book.take(Offset(3), &change("class/quick", 900, None, Some("c1")));
     assert!(matches!(late.ruling, Ruling::Refused(_)), "{late:?}");
@@ -48,7 +46,7 @@
 }
 
 #[test]
-fn a_record_of_a_newer_schema_stops_admission() {
+fn record_with_a_newer_schema_stops_admission() {
     let mut book = Book::default();
     book.take(
         Offset(0),
@@ -61,42 +59,41 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
 
-    /// A VM starts after the log has trimmed some changes. It holds later ones back until it
-    /// meets a checkpoint, then judges them on top of it, and ends with the settings of a VM that
-    /// has read every entry; without a checkpoint it says that it is not caught up.
+    /// Guards against a VM that starts from a trimmed stream and gets other settings than a VM that read all of it,
+    /// or admits programs without having read a checkpoint.
     #[test]
-    fn a_reader_of_a_trimmed_stream_agrees(
+    fn reader_of_a_trimmed_stream_gets_the_same_settings(
         steps in prop::collection::vec((0_u8..3, 1_u64..5, 0_u64..12, any::<bool>()), 1..40),
-        cut in 0_usize..40,
+        trimmed in 0_usize..40,
     ) {
-        let mut whole = Book::default();
+        let mut full_reader = Book::default();
         let mut stream: Vec<Vec<u8>> = Vec::new();
         for (key, target, base, checkpoint) in steps {
             let offset = Offset(stream.len() as u64);
-            whole.caught_up();
-            let entry = match whole.checkpoint_due(0, 0).filter(|_| checkpoint) {
+            full_reader.caught_up();
+            let entry = match full_reader.checkpoint_due(0, 0).filter(|_| checkpoint) {
                 Some(checkpoint) => serde_json::to_vec(&checkpoint).expect("JSON"),
                 None => change(&format!("class/c{key}"), target, base.checked_sub(1), None),
             };
-            whole.take(offset, &entry);
+            full_reader.take(offset, &entry);
             stream.push(entry);
         }
-        let cut = cut.min(stream.len());
-        let mut late = Book::default();
-        late.trimmed(Offset(cut as u64));
-        for (index, entry) in stream.iter().enumerate().skip(cut) {
-            late.take(Offset(index as u64), entry);
+        let trimmed = trimmed.min(stream.len());
+        let mut late_reader = Book::default();
+        late_reader.trimmed(Offset(trimmed as u64));
+        for (index, entry) in stream.iter().enumerate().skip(trimmed) {
+            late_reader.take(Offset(index as u64), entry);
         }
-        late.caught_up();
-        if late.has_gap() {
-            prop_assert!(!late.snapshot().admits());
+        late_reader.caught_up();
+        if late_reader.has_gap() {
+            prop_assert!(!late_reader.snapshot().admits());
         } else {
-            prop_assert_eq!(late.settings(), whole.settings());
+            prop_assert_eq!(late_reader.settings(), full_reader.settings());
         }
     }
 }
 
-fn target(environment: &Environment, vm: usize) -> Option<Value> {
+fn target_ms(environment: &Environment, vm: usize) -> Option<Value> {
     let (_, state) = environment.try_get(environment.vms[vm].operators, "/state")?;
     Some(state["config"]["classes"]["quick"]["target_ms"].clone())
 }
@@ -111,38 +108,36 @@
         .logged("event=config_read_failed")
 }
 
-/// Two operators publish at once, based on the same offset; both get an offset from the log.
-/// Every VM puts the first into force and refuses the second, whichever VM is asked.
+/// Guards against VMs that disagree on which of two concurrent changes is in force.
 #[test]
-fn every_vm_comes_to_the_same_verdict() {
+fn all_vms_accept_the_same_change() {
     let environment = Environment::start(1, 3);
     environment.publish("class/quick", json!({ "target_ms": 4000 }), Some(0));
     let second = environment.publish("class/quick", json!({ "target_ms": 3000 }), Some(0));
     for vm in 0..3 {
-        poll("both are judged", || {
+        poll("both changes are processed", || {
             let (_, state) = environment.try_get(environment.vms[vm].operators, "/state")?;
             (state["config"]["applied"].as_u64()? > second).then_some(())
         });
-        assert_eq!(target(&environment, vm), Some(json!(4000)));
+        assert_eq!(target_ms(&environment, vm), Some(json!(4000)));
     }
 }
 
-/// The log is down for longer than a VM alone would go on. Both VMs see each other, so both stay
-/// ready. One is restarted meanwhile: it takes the configuration over from the other and is ready
-/// with the change that was accepted before the outage.
+/// Guards against VMs that stop admitting in a log outage although they see each other, and against a VM that restarts
+/// with an old configuration, or none, instead of a peer's.
 #[test]
-fn a_vm_restarted_during_an_outage_has_the_newest_configuration() {
+fn vm_restarted_during_a_log_outage_gets_the_newest_configuration() {
     let mut environment = Environment::start(1, 2);
     environment.publish("class/quick", json!({ "target_ms": 4000 }), Some(0));
     for vm in 0..2 {
         poll("the change is in force", || {
-            (target(&environment, vm) == Some(json!(4000))).then_some(())
+            (target_ms(&environment, vm) == Some(json!(4000))).then_some(())
         });
     }
     environment.faults(environment.log.address, &json!({ "down": true }));
-    // Each failed read is followed by a pause of 300 ms: 25 of them take longer than the 5 s
-    // after which a VM without log and peers stops admitting.
-    poll("the outage is long", || {
+    // With 300 ms after each failed read, 25 of them take longer than the 5 s after which a VM without log and peers
+    // stops admitting.
+    poll("the outage lasts long enough", || {
         (read_failures(&environment, 0) >= 25).then_some(())
     });
     assert!(is_ready(&environment, 0) && is_ready(&environment, 1));
@@ -151,29 +146,27 @@
     poll("the VM is ready again", || {
         is_ready(&environment, 1).then_some(())
     });
-    assert_eq!(target(&environment, 1), Some(json!(4000)));
+    assert_eq!(target_ms(&environment, 1), Some(json!(4000)));
 }
 
-/// A VM can't reach the log, but sees its peers. A change accepted meanwhile reaches it through
-/// them, as their heartbeats tell that they have applied more of the stream.
+/// Guards against a VM without access to the log that misses changes which its peers have applied.
 #[test]
-fn a_vm_cut_off_from_the_log_follows_its_peers() {
+fn vm_without_log_access_gets_changes_from_peers() {
     let mut environment = Environment::start(1, 2);
-    let dead = format!("http://{}", support::free_address());
-    environment.add_vm(&json!({ "log": dead }));
+    let unreachable_log = format!("http://{}", support::free_address());
+    environment.add_vm(&json!({ "log": unreachable_log }));
     poll("the VM is ready", || {
         is_ready(&environment, 2).then_some(())
     });
     environment.publish("class/quick", json!({ "target_ms": 4000 }), Some(0));
     poll("the change is in force", || {
-        (target(&environment, 2) == Some(json!(4000))).then_some(())
+        (target_ms(&environment, 2) == Some(json!(4000))).then_some(())
     });
 }
 
-/// A VM loses its peer and the log at once. The others could have another configuration by now,
-/// so it stops admitting: an opening is refused as not run, with a time to come back.
+/// Guards against an isolated VM that admits programs by a configuration that may be outdated.
 #[test]
-fn a_vm_cut_off_from_all_stops_admitting() {
+fn isolated_vm_stops_admitting() {
     let mut environment = Environment::start(1, 2);
     environment.vms[1].process.kill();
     environment.faults(environment.log.address, &json!({ "down": true }));
@@ -191,20 +184,19 @@
     assert!(refusal["retry_after_ms"].is_u64(), "{refusal}");
 }
 
-/// The log trims every change. A VM writes a checkpoint before that, so a VM that starts
-/// afterwards has the change that was accepted, and a later change is judged on top of it.
+/// Guards against losing the configuration when the log trims all changes: a checkpoint preserves it.
 #[test]
-fn configuration_outlives_the_retention_of_the_log() {
+fn configuration_survives_log_trimming() {
     let mut environment = Environment::start(1, 2);
     let changed = environment.publish("class/quick", json!({ "target_ms": 4000 }), Some(0));
     poll("the change is in force", || {
-        (target(&environment, 0) == Some(json!(4000))).then_some(())
+        (target_ms(&environment, 0) == Some(json!(4000))).then_some(())
     });
-    // Many refused changes make the next checkpoint due.
+    // Refused changes count towards the next checkpoint, too.
     for _ in 0..1000 {
         environment.publish("class/quick", json!({ "target_ms": 1 }), Some(0));
     }
-    let checkpoint = poll("a checkpoint stands behind the change", || {
+    let checkpoint = poll("a checkpoint is written after the change", || {
         let logs = environment
             .vms
             .iter()
@@ -217,9 +209,9 @@
     poll("the VM is ready again", || {
         is_ready(&environment, 1).then_some(())
     });
-    assert_eq!(target(&environment, 1), Some(json!(4000)));
+    assert_eq!(target_ms(&environment, 1), Some(json!(4000)));
     environment.publish("class/quick", json!({ "target_ms": 3500 }), Some(changed));
     poll("the next change is in force", || {
-        (target(&environment, 1) == Some(json!(3500))).then_some(())
+        (target_ms(&environment, 1) == Some(json!(3500))).then_some(())
     });
 }
--- a/tests/dispatch_burst.rs
+++ b/tests/dispatch_burst.rs
@@ -113,7 +113,7 @@
             Placement::Granted(server) => self.send(permit, index, &server),
             Placement::Waiting => self.waiting.push((permit, index)),
             Placement::Refused(_) => self.retry_later(clock_ms, index),
-            Placement::NoServer => panic!("the service has servers"),
+            Placement::NoServer => panic!("the service has no server"),
         }
     }
 
--- a/tests/member.rs
+++ b/tests/member.rs
@@ -1,4 +1,4 @@
-//! Failures of VMs and of the network between them, over the membership protocol alone.
+//! Failures of VMs and of the network between them, simulated with the membership protocol only.
 
 #[path = "../benches/control/exchange.rs"]
 #[allow(dead_code, reason = "the benchmark uses the rest")]
@@ -11,34 +11,35 @@
 use vanillatrail::member::View;
 use vanillatrail::ownership::{Claimer, Claims};
 
-const SHARDS: u64 = 48;
-/// Far more than any step takes.
-const LIMIT: Duration = Duration::from_mins(2);
+const SHARD_COUNT: u64 = 48;
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_mins(2);
 
 fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-fn joined(size: usize, seed: u64) -> Exchange<Sealed> {
-    let mut exchange = Exchange::gossip(size, SHARDS, seed);
-    let whole = exchange.until(LIMIT, |exchange| exchange.whole() && owned(exchange));
-    assert!(whole.is_some(), "the VMs never found each other");
+fn converged_group(size: usize, seed: u64) -> Exchange<Sealed> {
+    let mut exchange = Exchange::gossip(size, SHARD_COUNT, seed);
+    let converged = exchange.until(CONVERGENCE_TIMEOUT, |exchange| {
+        exchange.whole() && all_shards_owned(exchange)
+    });
+    assert!(converged.is_some(), "the VMs did not find each other");
     exchange.run(seconds(10));
     exchange
 }
 
 /// Whether every VM knows an owner of every shard.
-fn owned(exchange: &mut Exchange<Sealed>) -> bool {
-    exchange.all(|view| (0..SHARDS).all(|shard| view.owner(Shard(shard)).is_some()))
+fn all_shards_owned(exchange: &mut Exchange<Sealed>) -> bool {
+    exchange.all(|view| (0..SHARD_COUNT).all(|shard| view.owner(Shard(shard)).is_some()))
 }
 
 fn owners(view: &View) -> BTreeMap<Shard, Vm> {
-    let shards = (0..SHARDS).map(Shard);
+    let shards = (0..SHARD_COUNT).map(Shard);
     let owned = shards.filter_map(|shard| Some((shard, view.owner(shard)?.vm.clone())));
     owned.collect()
 }
 
-fn sightings(view: &View) -> Vec<Claims> {
+fn member_claims(view: &View) -> Vec<Claims> {
     let members = view.members.values().map(|member| Claims {
         vm: member.vm.clone(),
         eligible: member.ready,
@@ -47,84 +48,77 @@
     members.collect()
 }
 
-/// Runs with a claimer at every VM and counts the claims that fall due.
-fn claims(exchange: &mut Exchange<Sealed>, time: Duration) -> usize {
+/// Runs the group with a claimer at every VM, and counts the shards that they claim.
+fn count_claims(exchange: &mut Exchange<Sealed>, duration: Duration) -> usize {
     let size = exchange.nodes.len();
     let mut claimers: Vec<Claimer> = (0..size)
-        .map(|index| Claimer::new(name(index), SHARDS))
+        .map(|index| Claimer::new(name(index), SHARD_COUNT))
         .collect();
     let step = Duration::from_millis(100);
-    let mut due = 0;
-    for _ in 0..time.as_millis() / step.as_millis() {
+    let mut count = 0;
+    for _ in 0..duration.as_millis() / step.as_millis() {
         exchange.run(step);
         for (index, claimer) in claimers.iter_mut().enumerate() {
             if exchange.nodes[index].up {
-                let seen = sightings(&exchange.view(index));
-                due += claimer.shards_to_claim(exchange.now, &seen).len();
+                let members = member_claims(&exchange.view(index));
+                count += claimer.shards_to_claim(exchange.now, &members).len();
             }
         }
     }
-    due
+    count
 }
 
-/// Callers of a slow VM wait a little longer; nobody else notices. The VM stands still for a
-/// second again and again, is suspected by those that probe it meanwhile, hears of that as soon
-/// as it goes on, and refutes it before anybody drops it. Its shards stay where they are.
+/// Guards against removing a VM that pauses for a second repeatedly: it refutes the suspicions in time.
 #[test]
-fn a_slow_vm_is_suspected_but_keeps_its_shards() {
-    let mut exchange = joined(12, 1);
+fn slow_vm_is_suspected_but_keeps_its_shards() {
+    let mut exchange = converged_group(12, 1);
     let before = owners(&exchange.view(0));
     for _ in 0..10 {
         exchange.pause(5, seconds(1));
-        assert_eq!(claims(&mut exchange, seconds(4)), 0);
+        assert_eq!(count_claims(&mut exchange, seconds(4)), 0);
     }
     assert!(exchange.counts().suspicions > 0);
     assert_eq!(exchange.counts().removals, 0);
     assert_eq!(owners(&exchange.view(0)), before);
 }
 
-/// A VM that stood still for a minute finds its probes unanswered and its suspicions old. If it
-/// judged by them, it would drop the whole group and claim every shard. It counts its own pause
-/// instead, so it drops nobody and comes back by refuting that it is gone.
+/// Guards against a VM that was paused for a minute and then removes all others, whose answers it missed.
 #[test]
-fn a_vm_that_stood_still_judges_nobody_by_its_own_pause() {
-    let mut exchange = joined(12, 2);
+fn vm_resumed_after_a_pause_removes_nobody() {
+    let mut exchange = converged_group(12, 2);
     exchange.pause(3, seconds(60));
     exchange.run(seconds(59));
     assert!(exchange.view(0).members.len() == 11);
     let removals = exchange.nodes[3].peer.gossip.counts().removals;
-    let back = exchange.until(LIMIT, Exchange::whole);
-    assert!(back.is_some(), "the VM did not come back");
+    let rejoined = exchange.until(CONVERGENCE_TIMEOUT, Exchange::whole);
+    assert!(rejoined.is_some(), "the VM did not rejoin");
     assert_eq!(exchange.nodes[3].peer.gossip.counts().removals, removals);
     exchange.run(seconds(5));
     assert_eq!(
         owners(&exchange.view(0)).len(),
-        usize::try_from(SHARDS).unwrap()
+        usize::try_from(SHARD_COUNT).unwrap()
     );
 }
 
-/// Callers notice nothing. Datagrams from one VM to one other are lost, those of the other way
-/// are not. The direct probe fails, the probe through other members does not.
+/// Guards against removing a VM because datagrams to it from one other VM are lost: indirect probes still succeed.
 #[test]
-fn a_one_way_cut_between_two_vms_removes_neither() {
-    let mut exchange = joined(12, 3);
+fn one_way_loss_between_two_vms_removes_neither() {
+    let mut exchange = converged_group(12, 3);
     exchange.cut(|from, to| (from, to) == (2, 7));
-    assert_eq!(claims(&mut exchange, seconds(60)), 0);
+    assert_eq!(count_claims(&mut exchange, seconds(60)), 0);
     assert_eq!(exchange.counts().removals, 0);
     assert_eq!(exchange.counts().suspicions, 0);
 }
 
-/// A VM sends but hears nobody. The others drop it, since it answers nothing, and take its shards
-/// over; its own suspicions do not count, or it would make everybody doubt everybody. When it
-/// hears again it is told that it is held to be gone, refutes that and is back.
+/// Guards against a VM that can send but not receive, and makes the others remove each other by its suspicions.
 #[test]
-fn a_deaf_vm_is_dropped_and_drops_nobody_else() {
-    let mut exchange = joined(12, 4);
+fn vm_that_cannot_receive_is_the_only_one_removed() {
+    let mut exchange = converged_group(12, 4);
     exchange.cut(|_, to| to == 7);
-    let dropped = exchange.until(seconds(20), |exchange| {
+    let removed = exchange.until(seconds(20), |exchange| {
         (0..12).all(|index| index == 7 || exchange.view(index).members.len() == 11)
     });
-    assert!(dropped.is_some());
+    assert!(removed.is_some());
     exchange.run(seconds(30));
     let others = (0..12).filter(|index| *index != 7);
     for index in others {
@@ -135,16 +129,18 @@
         );
     }
     exchange.heal();
-    assert!(exchange.until(LIMIT, Exchange::whole).is_some());
+    assert!(
+        exchange
+            .until(CONVERGENCE_TIMEOUT, Exchange::whole)
+            .is_some()
+    );
 }
 
-/// Callers in the zone that is cut off go on with what it has, the others too: each side drops
-/// the other within seconds. Once the cut is over, an address of a member that is gone answers
-/// again, each side tells the other that it is held to be gone, and all refute it. Neither side
-/// drops anybody because the other had: no member of a side doubts one of its own.
+/// Guards against zones that do not find each other after a partition, or remove members of their own because the other
+/// side had.
 #[test]
-fn a_zone_that_was_cut_off_merges_back() {
-    let mut exchange = joined(24, 5);
+fn partitioned_zone_rejoins() {
+    let mut exchange = converged_group(24, 5);
     let before = owners(&exchange.view(0));
     exchange.cut(|from, to| (from % ZONES == 1) != (to % ZONES == 1));
     let split = exchange.until(seconds(30), |exchange| {
@@ -164,17 +160,15 @@
     assert_eq!(owners(&exchange.view(0)), before);
 }
 
-/// Both sides of a cut go on, and one of them takes a shard of the other over by a claim in the
-/// log. After the merge every VM sends its callers to the newer claim, on both sides alike, and
-/// to the old owner for every shard that nobody claimed.
+/// Guards against VMs that disagree on the owner of a shard after a partition in which one side claimed it.
 #[test]
-fn two_sides_that_both_went_on_agree_on_the_newest_claims() {
-    let mut exchange = joined(24, 6);
+fn newest_claims_win_after_a_partition_heals() {
+    let mut exchange = converged_group(24, 6);
     exchange.cut(|from, to| from % 2 != to % 2);
     exchange.run(seconds(20));
-    let fresh = Epoch::at(Offset(9_000_000), 0);
-    // Shard 1 is held by VM 1; VM 2 is on the other side.
-    exchange.tell(2, |beat| beat.owned.push((Shard(1), fresh)));
+    let newer_epoch = Epoch::at(Offset(9_000_000), 0);
+    // VM 1 owns shard 1; VM 2 is on the other side.
+    exchange.tell(2, |beat| beat.owned.push((Shard(1), newer_epoch)));
     exchange.tell(3, |beat| beat.applied = Offset(1_000_007));
     exchange.run(seconds(10));
     assert_eq!(exchange.view(1).owner(Shard(1)).unwrap().vm, name(1));
@@ -188,15 +182,13 @@
             })
     });
     assert!(agreed.is_some());
-    assert!(owned(&mut exchange));
+    assert!(all_shards_owned(&mut exchange));
 }
 
-/// Programs of the restarted VMs wait for a takeover, all others go on. Each restarted process
-/// has another boot number, so the claims of its earlier run count as nobody's; they fall due at
-/// once, and everybody knows the new process without having dropped the old one first.
+/// Guards against claims of an earlier run that stay valid after a restart, and against removing restarted VMs first.
 #[test]
-fn one_in_ten_vms_restarted_at_once_rejoin() {
-    let mut exchange = joined(40, 7);
+fn vms_restarted_together_rejoin_without_their_old_claims() {
+    let mut exchange = converged_group(40, 7);
     for index in [3, 13, 23, 33] {
         exchange.restart(index, 2_000_000);
     }
@@ -212,18 +204,16 @@
     });
     assert!(known.is_some());
     assert_eq!(exchange.counts().removals, 0);
-    let lost = exchange.view(0);
-    assert!(lost.owner(Shard(3)).is_none());
-    assert!(lost.owner(Shard(4)).is_some());
-    assert!(claims(&mut exchange, seconds(2)) > 0);
+    let view = exchange.view(0);
+    assert!(view.owner(Shard(3)).is_none());
+    assert!(view.owner(Shard(4)).is_some());
+    assert!(count_claims(&mut exchange, seconds(2)) > 0);
 }
 
-/// A VM is replaced by one whose clock stands earlier, so that its incarnation is lower than that
-/// of the run before. The others would keep the old run and send callers to shards that it no
-/// longer has. It hears of the earlier run from them and raises its incarnation above that.
+/// Guards against members that ignore a restarted VM because its clock went back and its incarnation is lower.
 #[test]
-fn a_restarted_vm_whose_clock_went_back_is_known_all_the_same() {
-    let mut exchange = joined(12, 8);
+fn restarted_vm_with_an_earlier_clock_is_recognized() {
+    let mut exchange = converged_group(12, 8);
     exchange.restart(5, 1);
     let boot = exchange.nodes[5].beat.boot;
     let known = exchange.until(seconds(10), |exchange| {
@@ -236,43 +226,38 @@
     assert!(known.is_some());
 }
 
-/// A link that comes and goes every second moves no shard: the VM is suspected and refutes, again
-/// and again, and no takeover starts, whose reading of records would cost callers more than the
-/// short outages do.
+/// Guards against takeovers of the shards of a VM whose network fails every other second.
 #[test]
-fn a_flapping_vm_moves_nothing() {
-    let mut exchange = joined(12, 9);
+fn flapping_vm_keeps_its_shards() {
+    let mut exchange = converged_group(12, 9);
     let before = owners(&exchange.view(0));
-    let mut due = 0;
+    let mut claims = 0;
     for _ in 0..30 {
         exchange.cut(|from, to| from == 4 || to == 4);
-        due += claims(&mut exchange, Duration::from_millis(900));
+        claims += count_claims(&mut exchange, Duration::from_millis(900));
         exchange.heal();
-        due += claims(&mut exchange, Duration::from_millis(1100));
+        claims += count_claims(&mut exchange, Duration::from_millis(1100));
     }
-    assert_eq!(due, 0);
+    assert_eq!(claims, 0);
     assert_eq!(owners(&exchange.view(0)), before);
 }
 
-/// The platform's VM list names VMs that are no more and lacks some that live. It adds addresses
-/// to try and removes nobody, so callers notice nothing.
+/// Guards against an outdated VM list that removes members or causes suspicions.
 #[test]
-fn a_stale_vm_list_changes_no_view() {
-    let mut exchange = joined(12, 10);
+fn outdated_vm_list_changes_no_view() {
+    let mut exchange = converged_group(12, 10);
     for node in &mut exchange.nodes {
         node.peer.gossip.add_contacts((500..560).map(address));
     }
-    assert_eq!(claims(&mut exchange, seconds(30)), 0);
+    assert_eq!(count_claims(&mut exchange, seconds(30)), 0);
     assert!(exchange.whole());
     assert_eq!(exchange.counts().suspicions, 0);
 }
 
-/// Both regions go on alone for five minutes and take up each other's shards; the cut ends, and
-/// within seconds every VM knows every other again. The VMs that were gone are still known by
-/// address after that time, so the sides find each other without help.
+/// Guards against forgetting the addresses of removed members, so that sides of a long partition do not find each other.
 #[test]
-fn a_region_cut_for_minutes_heals() {
-    let mut exchange = joined(24, 11);
+fn partition_of_minutes_heals() {
+    let mut exchange = converged_group(24, 11);
     exchange.cut(|from, to| from % 2 != to % 2);
     exchange.run(seconds(300));
     assert!(exchange.all(|view| view.members.len() == 12));
@@ -280,37 +265,35 @@
     assert!(exchange.until(seconds(30), Exchange::whole).is_some());
 }
 
-/// With one datagram in five lost, callers notice nothing: there are suspicions, and each is
-/// refuted in time.
+/// Guards against removing members when one datagram in five is lost.
 #[test]
-fn heavy_loss_removes_nobody() {
-    let mut exchange = joined(50, 12);
+fn heavy_packet_loss_removes_nobody() {
+    let mut exchange = converged_group(50, 12);
     exchange.loss = 0.2;
     exchange.run(seconds(120));
     assert_eq!(exchange.counts().removals, 0);
     assert!(exchange.whole());
 }
 
-/// The last VM of three goes on alone when both others die, after a while in which it holds its
-/// own connection to be at fault.
+/// Guards against a last VM that never removes the others because it keeps blaming its own network.
 #[test]
-fn a_vm_left_alone_goes_on() {
-    let mut exchange = joined(3, 13);
+fn last_vm_removes_all_others() {
+    let mut exchange = converged_group(3, 13);
     exchange.kill(0);
     exchange.kill(2);
-    let alone = exchange.until(seconds(30), Exchange::whole);
-    assert!(alone.is_some());
+    let removed = exchange.until(seconds(30), Exchange::whole);
+    assert!(removed.is_some());
 }
 
-/// A VM that stops by plan says so, and is out of every view without a suspicion first.
+/// Guards against suspicions of a VM that shut down cleanly, and against keeping it in a view.
 #[test]
-fn a_vm_that_leaves_is_dropped_at_once() {
-    let mut exchange = joined(24, 14);
+fn leaving_vm_is_removed_without_suspicion() {
+    let mut exchange = converged_group(24, 14);
     let (now, from) = (exchange.now, address(5));
-    let farewell = exchange.nodes[5].peer.gossip.leave(now);
-    assert!(!farewell.is_empty());
+    let leave_messages = exchange.nodes[5].peer.gossip.leave(now);
+    assert!(!leave_messages.is_empty());
     exchange.kill(5);
-    for action in farewell {
+    for action in leave_messages {
         if let vanillatrail::member::Action::Send { to, message } = action {
             let index = (0..24).find(|index| address(*index) == to).unwrap();
             exchange.nodes[index]
@@ -319,19 +302,17 @@
                 .on_message(now, from, message);
         }
     }
-    let dropped = exchange.until(seconds(20), Exchange::whole);
-    assert!(dropped.is_some_and(|time| time < seconds(3)), "{dropped:?}");
+    let removed = exchange.until(seconds(20), Exchange::whole);
+    assert!(removed.is_some_and(|time| time < seconds(3)), "{removed:?}");
     exchange.run(seconds(10));
     assert!(exchange.whole());
     assert_eq!(exchange.counts().suspicions, 0);
 }
 
-/// A backend server that is leaving is known everywhere within a second or two, so that no VM
-/// gives it work; when nobody renews the announcement it ends everywhere, and the server that
-/// came back is used again.
+/// Guards against VMs that miss the draining of a backend server, or keep it when the announcement is not renewed.
 #[test]
-fn a_leaving_backend_server_is_known_everywhere_and_forgotten_later() {
-    let mut exchange = joined(24, 15);
+fn draining_backend_server_reaches_all_views_and_expires() {
+    let mut exchange = converged_group(24, 15);
     let server = "engine-7".parse().unwrap();
     let now = exchange.now;
     exchange.nodes[9]
@@ -342,20 +323,19 @@
         exchange.all(|view| view.draining.contains(&server))
     });
     assert!(known.is_some_and(|time| time < seconds(4)), "{known:?}");
-    let over = exchange.until(seconds(70), |exchange| {
+    let expired = exchange.until(seconds(70), |exchange| {
         exchange.all(|view| view.draining.is_empty())
     });
-    assert!(over.is_some());
+    assert!(expired.is_some());
     exchange.run(seconds(60));
     assert!(exchange.all(|view| view.draining.is_empty()));
 }
 
-/// A group in which everything changes at once still sends datagrams of at most 1,200 bytes, and
-/// every VM learns of every member and every owner.
+/// Guards against datagrams above the size limit when many members and owners are announced at once.
 #[test]
-fn no_datagram_exceeds_its_bound() {
+fn datagrams_stay_within_the_size_limit() {
     let mut exchange = Exchange::gossip(30, 600, 16);
-    let known = exchange.until(LIMIT, |exchange| {
+    let known = exchange.until(CONVERGENCE_TIMEOUT, |exchange| {
         exchange.whole()
             && exchange.all(|view| (0..600).all(|shard| view.owner(Shard(shard)).is_some()))
     });
--- a/tests/member_start.rs
+++ b/tests/member_start.rs
@@ -1,4 +1,4 @@
-//! VMs that start together and learn of each other from what each has left for the others.
+//! VMs that start together and discover each other through introduction records.
 
 mod beat;
 
@@ -10,33 +10,44 @@
 use vanillatrail::id::{Boot, Incarnation};
 use vanillatrail::member::{Action, Announcement, Gossip, Introduction};
 
-const VMS: u16 = 120;
+const VM_COUNT: u16 = 120;
 const TICK: Duration = Duration::from_millis(50);
 
-/// VMs that exchange datagrams without delay.
+/// VMs whose datagrams are delivered without delay.
 struct Group {
     now: Instant,
     nodes: Vec<Gossip>,
-    places: HashMap<SocketAddr, usize>,
-    /// Members that some VM held in another state than before.
-    told: usize,
+    index_by_address: HashMap<SocketAddr, usize>,
+    /// Actions other than sending: changed member states that a VM logs.
+    state_changes: usize,
 }
 
 impl Group {
     fn start() -> Self {
         let now = Instant::now();
-        let beats: Vec<Announcement> = (0..VMS).map(beat).collect();
-        let seeds = vec![beats[0].address];
-        let nodes = beats.iter().enumerate().map(|(index, beat)| {
-            let seeds = seeds.clone();
-            Gossip::new(now, beat.clone(), Incarnation(7), seeds, index as u64)
-        });
-        let places = beats.iter().enumerate();
+        let announcements: Vec<Announcement> = (0..VM_COUNT).map(beat).collect();
+        let seeds = vec![announcements[0].address];
+        let nodes = announcements
+            .iter()
+            .enumerate()
+            .map(|(index, announcement)| {
+                let seeds = seeds.clone();
+                Gossip::new(
+                    now,
+                    announcement.clone(),
+                    Incarnation(7),
+                    seeds,
+                    index as u64,
+                )
+            });
+        let addresses = announcements.iter().enumerate();
         Self {
             now,
             nodes: nodes.collect(),
-            places: places.map(|(index, beat)| (beat.address, index)).collect(),
-            told: 0,
+            index_by_address: addresses
+                .map(|(index, announcement)| (announcement.address, index))
+                .collect(),
+            state_changes: 0,
         }
     }
 
@@ -44,8 +55,8 @@
         self.nodes.iter().map(Gossip::introduction).collect()
     }
 
-    fn run(&mut self, time: Duration) {
-        for _ in 0..time.as_millis() / TICK.as_millis() {
+    fn run(&mut self, duration: Duration) {
+        for _ in 0..duration.as_millis() / TICK.as_millis() {
             self.now += TICK;
             for index in 0..self.nodes.len() {
                 let actions = self.nodes[index].tick(self.now);
@@ -55,33 +66,32 @@
     }
 
     fn deliver(&mut self, from: usize, actions: Vec<Action>) {
-        let mut open: Vec<_> = actions.into_iter().map(|action| (from, action)).collect();
-        while let Some((from, action)) = open.pop() {
+        let mut pending: Vec<_> = actions.into_iter().map(|action| (from, action)).collect();
+        while let Some((from, action)) = pending.pop() {
             let Action::Send { to, message } = action else {
-                self.told += 1;
+                self.state_changes += 1;
                 continue;
             };
-            let Some(to) = self.places.get(&to).copied() else {
+            let Some(to) = self.index_by_address.get(&to).copied() else {
                 continue;
             };
             let source = beat(u16::try_from(from).expect("few")).address;
             let replies = self.nodes[to].on_message(self.now, source, message);
-            open.extend(replies.into_iter().map(|action| (to, action)));
+            pending.extend(replies.into_iter().map(|action| (to, action)));
         }
     }
 
-    fn members(&mut self) -> Vec<usize> {
+    fn member_counts(&mut self) -> Vec<usize> {
         let now = self.now;
         let views = self.nodes.iter_mut().map(|node| node.view(now));
         views.map(|view| view.members.len()).collect()
     }
 }
 
-/// All VMs start in the same second. By news alone they take 9 s at 100 VMs to know each other, and meanwhile
-/// requests of one program are counted, and queue, at several VMs. Each reads what all others have left,
-/// and knows them at once; nobody passes on what everybody has read.
+/// Guards against VMs that start together and know each other only after seconds of gossip, so that several own one
+/// program meanwhile, and against gossiping what all of them have read.
 #[test]
-fn vms_that_start_together_know_each_other_at_once() {
+fn vms_starting_together_know_each_other_from_introductions() {
     let mut group = Group::start();
     let introductions = group.introductions();
     for node in &mut group.nodes {
@@ -89,32 +99,34 @@
     }
     assert!(
         group
-            .members()
+            .member_counts()
             .iter()
-            .all(|members| *members == usize::from(VMS))
+            .all(|count| *count == usize::from(VM_COUNT))
     );
     group.run(Duration::from_secs(2));
     assert!(
         group
-            .members()
+            .member_counts()
             .iter()
-            .all(|members| *members == usize::from(VMS))
+            .all(|count| *count == usize::from(VM_COUNT))
+    );
+    assert_eq!(group.state_changes, 0);
+    let queued_updates: usize = group.nodes.iter().map(|node| node.sizes().2).sum();
+    assert!(
+        queued_updates <= usize::from(VM_COUNT),
+        "{queued_updates} queued updates"
     );
-    assert_eq!(group.told, 0);
-    let waiting: usize = group.nodes.iter().map(|node| node.sizes().2).sum();
-    assert!(waiting <= usize::from(VMS), "{waiting} pieces of news wait");
 }
 
-/// A VM has left an introduction and is gone; another one has started again since it left its own. The
-/// first is dropped after it answers nobody, and of the second the newer run counts.
+/// Guards against introductions that keep a stopped VM in the views, or replace a restarted VM by its earlier run.
 #[test]
-fn an_old_introduction_does_not_last() {
+fn outdated_introductions_are_dropped() {
     let mut group = Group::start();
     let mut introductions = group.introductions();
-    let mut ghost = introductions[0].clone();
-    ghost.profile.vm = "vm-ghost".parse().expect("a name");
-    ghost.profile.address = SocketAddr::from(([127, 0, 0, 1], 9999));
-    introductions.push(ghost);
+    let mut stopped_vm = introductions[0].clone();
+    stopped_vm.profile.vm = "vm-ghost".parse().expect("a name");
+    stopped_vm.profile.address = SocketAddr::from(([127, 0, 0, 1], 9999));
+    introductions.push(stopped_vm);
     introductions[5].profile.boot = Boot(0);
     introductions[5].profile.version = Incarnation(3);
     introductions[5].incarnation = Incarnation(3);
@@ -124,9 +136,9 @@
     group.run(Duration::from_secs(30));
     assert!(
         group
-            .members()
+            .member_counts()
             .iter()
-            .all(|members| *members == usize::from(VMS))
+            .all(|count| *count == usize::from(VM_COUNT))
     );
     let view = group.nodes[0].view(group.now);
     assert_eq!(view.members[&beat(5).vm].boot, Boot(1));
--- a/tests/member_view.rs
+++ b/tests/member_view.rs
@@ -32,7 +32,7 @@
         })
         .collect();
     let mut published = vec![View::default(); 3];
-    let mut changes = 0;
+    let mut complete_views = 0;
     for step in 1..400_u64 {
         now += Duration::from_millis(50);
         if step % 40 == 0 {
@@ -55,12 +55,15 @@
             let view = nodes[target].view(now);
             if view != published[target] {
                 assert!(changed, "step {step}: vm-{target} has {view:?}");
-                changes += usize::from(view.members.len() == 3);
+                complete_views += usize::from(view.members.len() == 3);
                 published[target] = view;
             }
         }
     }
-    assert!(changes > 10, "only {changes} changes of complete views");
+    assert!(
+        complete_views > 10,
+        "only {complete_views} changed views were complete"
+    );
     let first = &announcements[0].vm;
     assert!(published[1].members[first].applied >= Offset(320));
 }
