--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -44,9 +44,9 @@
     assert_eq!(first[0].0, Permit(3));
 }
 
-/// Guards against requests that leave their zone while it has free slots, or all go to one server.
+/// Guards against uneven load on the servers of a service, and against leaving the zone if loads are equal.
 #[test]
-fn own_zone_is_preferred_and_then_the_least_loaded_server() {
+fn least_loaded_server_is_chosen_and_own_zone_breaks_ties() {
     let (now, mut dispatcher) = (Instant::now(), Dispatcher::default());
     dispatcher.set_servers([server("near", "a", 4), server("far", "b", 4)]);
     assert_eq!(
