--- a/tests/dispatch_burst.rs
+++ b/tests/dispatch_burst.rs
@@ -44,7 +44,7 @@
 impl TurnCost {
     fn turn_ms(self, running: usize) -> i64 {
         let others = running.clamp(1, SLOTS) - 1;
-        self.alone_ms + self.per_other_turn_ms * i64::try_from(others).expect("few")
+        self.alone_ms + self.per_other_turn_ms * i64::try_from(others).expect("the number fits")
     }
 
     /// Target duration of a program: 1.5 times its duration on idle servers, plus 250 ms.
@@ -145,7 +145,7 @@
             }
             let has_ended = |turn: &Turn| turn.ends_ms.is_some_and(|ends_ms| ends_ms <= clock_ms);
             while let Some(at) = self.servers[server].iter().position(has_ended) {
-                let turn = self.servers[server].remove(at).expect("it was found");
+                let turn = self.servers[server].remove(at).expect("the index is valid");
                 self.finish_turn(now, clock_ms, &turn);
             }
         }
@@ -155,7 +155,7 @@
                 .waiting
                 .iter()
                 .position(|(waiting, _)| *waiting == permit);
-            let (_, index) = self.waiting.remove(at.expect("it waits"));
+            let (_, index) = self.waiting.remove(at.expect("the permit is waiting"));
             self.send(permit, index, &server);
         }
         for permit in ticked.timed_out {
@@ -163,7 +163,7 @@
                 .waiting
                 .iter()
                 .position(|(waiting, _)| *waiting == permit);
-            let (_, index) = self.waiting.remove(at.expect("it waits"));
+            let (_, index) = self.waiting.remove(at.expect("the permit is waiting"));
             self.retry_later(clock_ms, index);
         }
     }
--- a/tests/dispatch_large.rs
+++ b/tests/dispatch_large.rs
@@ -85,13 +85,13 @@
         .map(|server| (server.id, server.zone))
         .collect();
     let start = Instant::now();
-    let step = Duration::from_secs(1) / u32::try_from(turns_per_second).expect("small");
+    let step = Duration::from_secs(1) / u32::try_from(turns_per_second).expect("the number fits");
     let mut placements = Placements::default();
     let mut running: Vec<(Instant, Permit, Arc<str>)> = Vec::new();
     let mut running_by_server: BTreeMap<Arc<str>, usize> = BTreeMap::new();
     let mut last_servers: HashMap<u64, Arc<str>> = HashMap::new();
     for number in 0..turns_per_second * 10 {
-        let now = start + step * u32::try_from(number).expect("small");
+        let now = start + step * u32::try_from(number).expect("the number fits");
         while let Some((_, permit, server)) = running.pop_if(|(end, ..)| *end <= now) {
             dispatcher.finish(now, permit, completed(TURN_TIME));
             *running_by_server.entry(server).or_default() -= 1;
--- a/tests/dispatch_many.rs
+++ b/tests/dispatch_many.rs
@@ -60,9 +60,10 @@
     let mut idle: HashMap<(u64, Arc<str>), Vec<Instant>> = HashMap::new();
     let zones: HashMap<Arc<str>, Arc<str>> =
         servers().map(|server| (server.id, server.zone)).collect();
-    let step = Duration::from_secs(1) / u32::try_from(REQUESTS_PER_SECOND).expect("small");
+    let step =
+        Duration::from_secs(1) / u32::try_from(REQUESTS_PER_SECOND).expect("the number fits");
     for number in 0..REQUESTS_PER_SECOND * SIMULATED_TIME.as_secs() {
-        let now = start + step * u32::try_from(number).expect("small");
+        let now = start + step * u32::try_from(number).expect("the number fits");
         while let Some((_, permit, vm, server)) = running.pop_if(|(end, ..)| *end <= now) {
             dispatcher.finish(now, permit, completed(REQUEST_TIME));
             idle.entry((vm, server)).or_default().push(now);
@@ -91,7 +92,12 @@
     let new_connections = placements.new_connections as f64 / placements.sent as f64;
     let other_zone = placements.other_zone as f64 / placements.sent as f64;
     let mean = placements.sent as f64 / SERVER_COUNT as f64;
-    let busiest = *placements.by_server.values().max().expect("some") as f64 / mean;
+    let busiest = *placements
+        .by_server
+        .values()
+        .max()
+        .expect("the servers got requests") as f64
+        / mean;
     assert!(
         new_connections < 0.15,
         "{new_connections:.3} of the requests open a connection"
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -27,7 +27,7 @@
     let dir = tempfile::tempdir().expect("a folder");
     let write = |name: &str, text: &str| {
         let path = dir.path().join(name);
-        std::fs::write(&path, text).expect("it can be written");
+        std::fs::write(&path, text).expect("the file is writable");
         path.to_str().expect("a plain path").to_owned()
     };
     let paths = [write("b.log", LOG_B), write("a.log", LOG_A)];
@@ -37,7 +37,9 @@
 #[test]
 fn slices_count_results_and_state_changes() {
     let (_dir, [b, a]) = write_logs();
-    let output = explain(&[&b, &a, "--json"]).output().expect("it runs");
+    let output = explain(&[&b, &a, "--json"])
+        .output()
+        .expect("the command runs");
     assert!(output.status.success());
     let slices: Value = serde_json::from_slice(&output.stdout).expect("JSON");
     assert_eq!(slices.as_array().expect("slices").len(), 2);
@@ -61,7 +63,7 @@
     let (_dir, [b, a]) = write_logs();
     let output = explain(&[&b, &a, "--program", "p"])
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let ids: Vec<&str> = text
         .lines()
@@ -72,7 +74,10 @@
 
 #[test]
 fn standard_input_is_read_and_an_unknown_id_fails() {
-    let text = explain(&[]).write_stdin(LOG_A).output().expect("it runs");
+    let text = explain(&[])
+        .write_stdin(LOG_A)
+        .output()
+        .expect("the command runs");
     assert!(String::from_utf8_lossy(&text.stdout).contains("VT3002=1; store_lost=1"));
     explain(&["--id", "nobody"])
         .write_stdin(LOG_A)
@@ -92,16 +97,16 @@
     let long_log = LOG_A.repeat(20_000);
     let (dir, _) = write_logs();
     let path = dir.path().join("many.log");
-    std::fs::write(&path, long_log).expect("it can be written");
+    std::fs::write(&path, long_log).expect("the file is writable");
     let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_vanillatrail"))
         .args(["explain", "--program", "p"])
         .arg(&path)
         .stdout(std::process::Stdio::piped())
         .stderr(std::process::Stdio::null())
         .spawn()
-        .expect("it starts");
+        .expect("the command starts");
     drop(child.stdout.take());
-    assert!(child.wait().expect("it ends").success());
+    assert!(child.wait().expect("the command ends").success());
 }
 
 /// Programs with refused requests are listed first, with the total time that they waited.
@@ -109,7 +114,7 @@
 fn programs_are_sorted_worst_first() {
     let (_dir, [b, a]) = write_logs();
     let arguments = [&b, &a, "--by", "program", "--json"];
-    let output = explain(&arguments).output().expect("it runs");
+    let output = explain(&arguments).output().expect("the command runs");
     let groups: Value = serde_json::from_slice(&output.stdout).expect("JSON");
     let programs: Vec<_> = groups.as_array().expect("groups").iter().collect();
     assert_eq!(programs.len(), 2);
@@ -121,7 +126,7 @@
     assert_eq!(programs[0]["waited_ms"], 4 + 1 + 660 + 6 + 1);
     let printed = explain(&[&b, &a, "--by", "program"])
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     let printed = String::from_utf8_lossy(&printed.stdout).into_owned();
     assert!(
         printed
--- a/tests/member_start.rs
+++ b/tests/member_start.rs
@@ -75,7 +75,7 @@
             let Some(to) = self.index_by_address.get(&to).copied() else {
                 continue;
             };
-            let source = beat(u16::try_from(from).expect("few")).address;
+            let source = beat(u16::try_from(from).expect("the index fits")).address;
             let replies = self.nodes[to].on_message(self.now, source, message);
             pending.extend(replies.into_iter().map(|action| (to, action)));
         }
