--- a/tests/allowance.rs
+++ b/tests/allowance.rs
@@ -1,4 +1,4 @@
-//! The token budget of a program, over crashes and hand-overs of the VM that counts it.
+//! Token budget of a program across crashes and handovers of its owner.
 
 use proptest::prelude::*;
 use std::collections::HashMap;
@@ -6,8 +6,8 @@
 use tokio::time::Instant;
 use vanillatrail::policy::allowance::{Ledger, Request, Reservation, Snapshot, Verdict};
 
-const BUDGET: u64 = 870;
-const MOST: u64 = 290;
+const BUDGET_TOKENS: u64 = 870;
+const MAX_TURN_TOKENS: u64 = 290;
 
 fn reservation(number: u64) -> Reservation {
     Reservation { vm: 1, number }
@@ -15,17 +15,15 @@
 
 fn turn(seen: u64) -> Request {
     Request {
-        budget: BUDGET,
-        most: MOST,
+        budget: BUDGET_TOKENS,
+        most: MAX_TURN_TOKENS,
         seen,
     }
 }
 
-/// A caller's program makes one turn after another, and the VM that counts crashes between them.
-/// The next one reads only what was recorded; what it allows counts as spent, so that the program
-/// never gets more than its budget and one turn.
+/// A new owner knows only the recorded allowance, so all of it counts as spent.
 #[test]
-fn what_was_allowed_counts_as_spent_after_a_crash() {
+fn the_recorded_allowance_counts_as_spent_after_a_crash() {
     let now = Instant::now();
     let mut ledger = Ledger::default();
     assert_eq!(
@@ -34,19 +32,18 @@
     );
     ledger.mark_recorded("p", 580);
     ledger.settle(now, reservation(1), 70);
-    let mut next = Ledger::default();
-    next.restore(now, "p", 580);
-    assert_eq!(next.usage("p"), (0, 580));
+    let mut new_owner = Ledger::default();
+    new_owner.restore(now, "p", 580);
+    assert_eq!(new_owner.usage("p"), (0, 580));
     assert_eq!(
-        next.reserve(now, "p", reservation(2), turn(0)),
+        new_owner.reserve(now, "p", reservation(2), turn(0)),
         Verdict::Record(1160)
     );
 }
 
-/// Five sub-agents of a program ask at once, before any of them has ended. Each is counted at its
-/// most until it ends, and then at what it used, so that none is refused for nothing.
+/// A running turn is counted with its maximum, and with its actual usage once it has ended.
 #[test]
-fn turns_under_way_count_at_their_most_until_they_end() {
+fn running_turns_count_with_their_maximum_until_they_end() {
     let now = Instant::now();
     let mut ledger = Ledger::default();
     for number in 0..3 {
@@ -66,57 +63,55 @@
     );
 }
 
-/// The answer to a reservation is lost and the VM asks again. The turn is counted once.
+/// Repeated reservations and settlements are idempotent.
 #[test]
 fn a_repeated_reservation_is_counted_once() {
     let now = Instant::now();
     let mut ledger = Ledger::default();
     ledger.reserve(now, "p", reservation(1), turn(0));
     ledger.reserve(now, "p", reservation(1), turn(0));
-    assert_eq!(ledger.usage("p"), (1, MOST));
+    assert_eq!(ledger.usage("p"), (1, MAX_TURN_TOKENS));
     ledger.settle(now, reservation(1), 10);
     ledger.settle(now, reservation(1), 10);
     assert_eq!(ledger.usage("p"), (1, 10));
 }
 
-/// A VM knows from its own answers that a turn under way was counted at its most. When it asks
-/// again after that turn has ended with less, the program must not be charged for the rest.
+/// The usage that a VM has seen includes maxima of running turns. It must not raise the usage of a program that
+/// the ledger knows.
 #[test]
-fn what_a_vm_has_seen_does_not_charge_a_known_program_again() {
+fn usage_seen_by_a_vm_is_not_charged_again() {
     let now = Instant::now();
     let mut ledger = Ledger::default();
     ledger.reserve(now, "p", reservation(1), turn(0));
     ledger.mark_recorded("p", 580);
     ledger.settle(now, reservation(1), 70);
     ledger.reserve(now, "p", reservation(2), turn(290));
-    assert_eq!(ledger.usage("p"), (2, 70 + MOST));
+    assert_eq!(ledger.usage("p"), (2, 70 + MAX_TURN_TOKENS));
 }
 
-/// A planned stop hands the accounts over whole: the next VM knows what was really used, and the
-/// end of a turn that began before is counted there.
+/// A handover passes actual usage on, and the new owner settles turns that started before.
 #[test]
-fn a_hand_over_keeps_what_was_used() {
+fn a_handover_preserves_actual_usage() {
     let now = Instant::now();
     let mut ledger = Ledger::default();
     ledger.reserve(now, "p", reservation(1), turn(0));
     ledger.mark_recorded("p", 580);
-    let mut next = Ledger::default();
-    next.restore(now, "p", 580);
+    let mut new_owner = Ledger::default();
+    new_owner.restore(now, "p", 580);
     for entry in ledger.export() {
-        next.import(now, entry);
+        new_owner.import(now, entry);
     }
-    next.settle(now, reservation(1), 70);
-    assert_eq!(next.usage("p"), (1, 70));
+    new_owner.settle(now, reservation(1), 70);
+    assert_eq!(new_owner.usage("p"), (1, 70));
 }
 
-/// A VM was shut out without knowing, and a third one has recorded more meanwhile. Its hand-over
-/// must not take back what the third one may have given.
+/// A handover from a fenced-off owner must not undo what another owner has recorded since.
 #[test]
-fn a_stale_hand_over_counts_what_others_recorded() {
+fn a_stale_handover_does_not_reduce_the_recorded_allowance() {
     let now = Instant::now();
-    let mut next = Ledger::default();
-    next.restore(now, "p", 1160);
-    next.import(
+    let mut new_owner = Ledger::default();
+    new_owner.restore(now, "p", 1160);
+    new_owner.import(
         now,
         Snapshot {
             program: "p".to_owned(),
@@ -126,12 +121,12 @@
             open: Vec::new(),
         },
     );
-    assert_eq!(next.usage("p").1, 70 + 580);
+    assert_eq!(new_owner.usage("p").1, 70 + 580);
 }
 
-/// A program that has not been seen for longer than it may pause is forgotten.
+/// Programs idle for longer than the timeout are removed.
 #[test]
-fn idle_programs_are_forgotten() {
+fn idle_programs_expire() {
     let now = Instant::now();
     let mut ledger = Ledger::default();
     ledger.restore(now, "old", 10);
@@ -141,62 +136,63 @@
     assert_eq!(ledger.len(), 1);
 }
 
-/// The store is away, a program gets tokens without a record, and then all VMs lose power. Nobody
-/// knows of them any more; so they were bounded, and the bound counts as spent afterwards, without
-/// which the program would get 290 tokens more than its budget and a turn.
+/// Unrecorded grants during an outage are bounded, and the bound counts as spent if all VMs are lost.
 #[test]
-fn what_was_given_without_a_record_counts_as_spent_after_a_loss() {
+fn unrecorded_grants_count_as_spent_after_data_loss() {
     let now = Instant::now();
     let mut ledger = Ledger::default();
     ledger.reserve(now, "p", reservation(1), turn(0));
     assert!(ledger.allows_unrecorded("p", turn(0)));
     ledger.reserve(now, "p", reservation(2), turn(0));
     assert!(!ledger.allows_unrecorded("p", turn(0)));
-    let mut next = Ledger::default();
-    next.mark_incomplete();
-    next.reserve(now, "p", reservation(3), turn(0));
-    assert_eq!(next.usage("p"), (1, BUDGET / 2 + MOST));
+    let mut new_owner = Ledger::default();
+    new_owner.mark_incomplete();
+    new_owner.reserve(now, "p", reservation(3), turn(0));
+    assert_eq!(
+        new_owner.usage("p"),
+        (1, BUDGET_TOKENS / 2 + MAX_TURN_TOKENS)
+    );
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A turn asks, and if it may, hands out a part of its most.
+    /// A turn starts if the budget allows, and uses some of its maximum.
     Turn { used: u64, ends: bool },
-    /// The VM that counts dies; another one reads the records.
-    Crash,
-    /// It stops as planned and hands over.
-    HandOver,
-    /// The answer to the newest record is lost: it is durable, and the turn does not run.
-    LostRecord,
-    /// From now on nothing can be recorded; what is given is kept by other VMs.
-    Outage,
-    /// All is recorded again.
-    Back,
-    /// All VMs are lost, and with them what was not recorded.
-    Loss,
+    /// The owner is killed, and a new one reads the records.
+    OwnerCrash,
+    /// The owner shuts down gracefully and hands over.
+    Handover,
+    /// The response to an append is lost: the record is durable, but the turn does not run.
+    LostResponse,
+    /// The store becomes unavailable; grants are only replicated to other VMs.
+    StoreLost,
+    /// The store is available again.
+    StoreBack,
+    /// All VMs are killed, and unrecorded grants are lost.
+    AllVmsLost,
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0..=MOST, any::<bool>()).prop_map(|(used, ends)| Step::Turn { used, ends }),
-        1 => Just(Step::Crash),
-        1 => Just(Step::HandOver),
-        1 => Just(Step::LostRecord),
-        1 => Just(Step::Outage),
-        1 => Just(Step::Back),
-        1 => Just(Step::Loss),
+        6 => (0..=MAX_TURN_TOKENS, any::<bool>()).prop_map(|(used, ends)| Step::Turn { used, ends }),
+        1 => Just(Step::OwnerCrash),
+        1 => Just(Step::Handover),
+        1 => Just(Step::LostResponse),
+        1 => Just(Step::StoreLost),
+        1 => Just(Step::StoreBack),
+        1 => Just(Step::AllVmsLost),
     ]
 }
 
 proptest! {
-    /// Whatever happens in whatever order, a program is handed at most its budget and one turn.
+    /// In any order of events, a program gets at most its budget and one turn.
     #[test]
-    fn no_schedule_gives_more_than_the_budget_and_a_turn(steps in prop::collection::vec(step(), 1..200)) {
+    fn no_schedule_exceeds_the_budget_by_more_than_a_turn(steps in prop::collection::vec(any_step(), 1..200)) {
         let now = Instant::now();
         let mut durable: HashMap<&str, u64> = HashMap::new();
         let mut ledger = Ledger::default();
-        let mut handed = 0;
-        let mut away = false;
+        let mut used_tokens = 0;
+        let mut outage = false;
         for (number, step) in steps.into_iter().enumerate() {
             let reservation = reservation(number as u64);
             match step {
@@ -204,7 +200,7 @@
                     match ledger.reserve(now, "p", reservation, turn(0)) {
                         Verdict::Spent => continue,
                         Verdict::Covered => {}
-                        Verdict::Record(_) if away => {
+                        Verdict::Record(_) if outage => {
                             if !ledger.allows_unrecorded("p", turn(0)) {
                                 ledger.settle(now, reservation, 0);
                                 continue;
@@ -215,48 +211,48 @@
                             ledger.mark_recorded("p", allowed);
                         }
                     }
-                    handed += used;
+                    used_tokens += used;
                     if ends {
                         ledger.settle(now, reservation, used);
                     }
                 }
-                Step::Outage => away = true,
-                Step::Back => {
-                    away = false;
-                    // What was given meanwhile is recorded first.
+                Step::StoreLost => outage = true,
+                Step::StoreBack => {
+                    outage = false;
+                    // Records the grants of the outage first.
                     let (_, total) = ledger.usage("p");
                     if total > ledger.allowed("p") {
                         durable.insert("p", total);
                         ledger.mark_recorded("p", total);
                     }
                 }
-                Step::Loss => {
+                Step::AllVmsLost => {
                     let lost = std::mem::take(&mut ledger);
                     ledger.restore(now, "p", durable.get("p").copied().unwrap_or(0));
-                    if away || lost.is_incomplete() {
+                    if outage || lost.is_incomplete() {
                         ledger.mark_incomplete();
                     }
-                    away = false;
+                    outage = false;
                 }
-                Step::Crash | Step::LostRecord if away => {}
-                Step::LostRecord => {
+                Step::OwnerCrash | Step::LostResponse if outage => {}
+                Step::LostResponse => {
                     if let Verdict::Record(allowed) = ledger.reserve(now, "p", reservation, turn(0)) {
                         durable.insert("p", allowed);
                     }
                     ledger.settle(now, reservation, 0);
                 }
-                Step::Crash => {
-                    let doubtful = ledger.is_incomplete();
+                Step::OwnerCrash => {
+                    let incomplete = ledger.is_incomplete();
                     ledger = Ledger::default();
                     ledger.restore(now, "p", durable.get("p").copied().unwrap_or(0));
-                    if doubtful {
+                    if incomplete {
                         ledger.mark_incomplete();
                     }
                 }
-                Step::HandOver => {
-                    let (entries, doubtful) = (ledger.export(), ledger.is_incomplete());
+                Step::Handover => {
+                    let (entries, incomplete) = (ledger.export(), ledger.is_incomplete());
                     ledger = Ledger::default();
-                    if doubtful {
+                    if incomplete {
                         ledger.mark_incomplete();
                     }
                     ledger.restore(now, "p", durable.get("p").copied().unwrap_or(0));
@@ -265,7 +261,7 @@
                     }
                 }
             }
-            prop_assert!(handed <= BUDGET + MOST, "{handed} tokens");
+            prop_assert!(used_tokens <= BUDGET_TOKENS + MAX_TURN_TOKENS, "{used_tokens} tokens");
         }
     }
 }
--- a/tests/conversation.rs
+++ b/tests/conversation.rs
@@ -1,4 +1,4 @@
-//! The parts that keep conversations: what was said, what leads to a turn, what the store lacks.
+//! Conversation storage: transcripts, history of a turn, cache, partitions and the outbox of turns to store.
 
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -27,36 +27,34 @@
     Cache::new(1 << 20, Duration::from_secs(20))
 }
 
-/// The data of an event may stand in several lines, behind a version or an identity, with either kind
-/// of line end, and come in any pieces of whole events.
+/// Event data may span several lines, follow other fields, use either line ending and arrive in pieces of
+/// complete events.
 #[test]
-fn what_was_said_is_the_data_of_the_events() {
+fn a_transcript_joins_the_data_of_all_events() {
     let mut transcript = Transcript::default();
     transcript.push(b"id: 1\ndata: one\n\nx-weight-versions: 3\nid: 2\ndata:two\ndata: three\n\n");
     transcript.push(b"id: 3\r\ndata:  four\r\n\r\n: data: a comment\n\ndata:\n\n");
     assert_eq!(transcript.finish(), "one\ntwo\nthree\n four\n\n");
 }
 
-/// A server gets all inputs and outputs that lead to the turn, the oldest first; two turns that go on
-/// from one see the same beginning and nothing of each other.
+/// A prompt has the inputs and outputs of all earlier turns, oldest first, and nothing of other branches.
 #[test]
-fn branches_share_their_beginning() {
+fn branches_of_a_conversation_share_their_history() {
     let (now, mut cache) = (Instant::now(), cache());
     cache.insert(now, turn("a", None, "A", "1\n"));
     cache.insert(now, turn("b", Some("a"), "B", "2\n"));
     cache.insert(now, turn("c", Some("a"), "C", "3\n"));
-    let whole = |cache: &mut Cache, last| match cache.walk(now, &id(last), 100) {
+    let prompt_for = |cache: &mut Cache, last| match cache.walk(now, &id(last), 100) {
         Walk::Whole(turns) => prompt(&turns, &"new".into()),
         other => panic!("{other:?}"),
     };
-    assert_eq!(whole(&mut cache, "b"), "A1\nB2\nnew");
-    assert_eq!(whole(&mut cache, "c"), "A1\nC3\nnew");
+    assert_eq!(prompt_for(&mut cache, "b"), "A1\nB2\nnew");
+    assert_eq!(prompt_for(&mut cache, "c"), "A1\nC3\nnew");
 }
 
-/// Where a turn in the middle has left the memory, it is named, so that it can be fetched; nothing is
-/// made of what is left.
+/// If an earlier turn is not cached, the walk returns its id and no partial history.
 #[test]
-fn a_gap_is_named() {
+fn a_missing_turn_is_reported() {
     let (now, mut cache) = (Instant::now(), cache());
     cache.insert(now, turn("a", None, "A", "1\n"));
     cache.insert(now, turn("c", Some("b"), "C", "3\n"));
@@ -64,10 +62,9 @@
     assert_eq!(cache.walk(now, &id("x"), 100), Walk::Missing(id("x")));
 }
 
-/// Callers choose the identities. One that names its own turn as the one before, or has said nothing
-/// many times, must not keep a VM busy for ever.
+/// Callers choose turn ids, so a cycle of turns, with or without text, must not loop forever.
 #[test]
-fn a_circle_is_too_long() {
+fn a_cyclic_history_is_too_long() {
     let (now, mut cache) = (Instant::now(), cache());
     cache.insert(now, turn("a", Some("b"), "", ""));
     cache.insert(now, turn("b", Some("a"), "", ""));
@@ -76,9 +73,9 @@
     assert_eq!(cache.walk(now, &id("long"), 9), Walk::TooLong);
 }
 
-/// The memory is bounded by bytes and by time; a turn that was of use stays, with all that leads to it.
+/// The cache is bounded by bytes and time; a used turn stays together with its history.
 #[test]
-fn what_is_of_no_use_leaves() {
+fn unused_turns_are_evicted() {
     let (now, second) = (Instant::now(), Duration::from_secs(1));
     let mut cache = Cache::new(6, second * 3);
     cache.insert(now, turn("a", None, "A", "1"));
@@ -95,9 +92,9 @@
     assert!(cache.is_empty());
 }
 
-/// Hints leave with time, too.
+/// Pointers to other VMs expire.
 #[test]
-fn a_pointer_is_a_hint() {
+fn pointers_expire() {
     let (now, second) = (Instant::now(), Duration::from_secs(1));
     let mut pointers = Pointers::new(second);
     pointers.set(now, id("a"), "10.0.0.1:1".parse().expect("an address"));
@@ -105,9 +102,9 @@
     assert_eq!(pointers.get(&id("a")), None);
 }
 
-/// Each bucket has a partition, and others for a time in which its own takes nothing.
+/// Each bucket has a partition and different fallback partitions.
 #[test]
-fn a_bucket_has_other_partitions() {
+fn a_bucket_has_fallback_partitions() {
     for partitions in 1..40 {
         let layout = Layout {
             topics: 4,
@@ -124,80 +121,79 @@
     }
 }
 
-/// What happens to a VM's records of one bucket.
+/// Events of the outbox of one bucket.
 #[derive(Debug, Clone)]
 enum Event {
-    /// A turn ended, kept until then.
+    /// A turn ended and is retained until the second value.
     Push(u8, u64),
-    /// A write of what is lacking begins.
+    /// A write of pending turns starts.
     Write,
-    /// The oldest write under way is done, and the VM hears so.
-    Done,
-    /// It is done, and the answer is lost.
-    Lost,
-    /// It fails.
+    /// The oldest write completes.
+    Completed,
+    /// The oldest write completes, but its response is lost.
+    LostResponse,
+    /// The oldest write fails.
     Failed,
 }
 
-fn event() -> impl Strategy<Value = Event> {
+fn any_event() -> impl Strategy<Value = Event> {
     prop_oneof![
         (0_u8..12, 1_u64..4).prop_map(|(name, until_ms)| Event::Push(name, until_ms)),
         Just(Event::Write),
-        Just(Event::Done),
-        Just(Event::Lost),
+        Just(Event::Completed),
+        Just(Event::LostResponse),
         Just(Event::Failed),
     ]
 }
 
 proptest! {
-    /// An answer ends once its turn is no longer lacking. Writes overlap, fail, lose their answers
-    /// and are done late; whatever happens, what is not lacking is at the store, for as long as asked.
+    /// Writes overlap, fail, complete late or lose their responses. A turn that the outbox no longer lacks is
+    /// in the store with the retention that was asked for.
     #[test]
-    fn what_is_not_lacking_is_at_the_store(events in prop::collection::vec(event(), 0..80)) {
+    fn turns_that_are_not_pending_are_stored(events in prop::collection::vec(any_event(), 0..80)) {
         let mut outbox = Outbox::default();
-        let mut under_way: Vec<Vec<Rc<Turn>>> = Vec::new();
+        let mut in_flight: Vec<Vec<Rc<Turn>>> = Vec::new();
         let mut store: BTreeMap<Id, u64> = BTreeMap::new();
-        let mut asked: BTreeMap<Id, u64> = BTreeMap::new();
-        let take = |store: &mut BTreeMap<Id, u64>, batch: &[Rc<Turn>]| {
+        let mut requested: BTreeMap<Id, u64> = BTreeMap::new();
+        let store_batch = |store: &mut BTreeMap<Id, u64>, batch: &[Rc<Turn>]| {
             for turn in batch {
-                let kept = store.entry(turn.id.clone()).or_default();
-                *kept = turn.until_ms.max(*kept);
+                let stored_until = store.entry(turn.id.clone()).or_default();
+                *stored_until = turn.until_ms.max(*stored_until);
             }
         };
         for event in events {
             match event {
                 Event::Push(name, until_ms) => {
                     let turn = Turn { until_ms, ..(*turn(&format!("t{name}"), None, "i", "o\n")).clone() };
-                    let longest = asked.entry(turn.id.clone()).or_default();
-                    *longest = until_ms.max(*longest);
+                    let requested_until = requested.entry(turn.id.clone()).or_default();
+                    *requested_until = until_ms.max(*requested_until);
                     outbox.push(Rc::new(turn));
                 }
-                Event::Write => under_way.push(outbox.batch(4)),
-                Event::Done if !under_way.is_empty() => {
-                    let batch = under_way.remove(0);
-                    take(&mut store, &batch);
+                Event::Write => in_flight.push(outbox.batch(4)),
+                Event::Completed if !in_flight.is_empty() => {
+                    let batch = in_flight.remove(0);
+                    store_batch(&mut store, &batch);
                     outbox.recorded(&batch);
                 }
-                Event::Lost if !under_way.is_empty() => take(&mut store, &under_way.remove(0)),
-                Event::Failed if !under_way.is_empty() => drop(under_way.remove(0)),
-                Event::Done | Event::Lost | Event::Failed => {}
+                Event::LostResponse if !in_flight.is_empty() => store_batch(&mut store, &in_flight.remove(0)),
+                Event::Failed if !in_flight.is_empty() => drop(in_flight.remove(0)),
+                Event::Completed | Event::LostResponse | Event::Failed => {}
             }
-            for (id, until_ms) in &asked {
-                let kept = store.get(id).copied().unwrap_or_default();
-                prop_assert!(outbox.lacks(id) || kept >= *until_ms, "{id}");
+            for (id, until_ms) in &requested {
+                let stored_until = store.get(id).copied().unwrap_or_default();
+                prop_assert!(outbox.lacks(id) || stored_until >= *until_ms, "{id}");
             }
         }
     }
 
-    /// Whoever else writes to the store: bytes that are no turn's are told from turns, and a turn
-    /// comes back as it was.
+    /// Decoding rejects truncated records and invalid bytes, and a decoded turn survives a round trip.
     #[test]
-    fn a_record_is_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200), cut in 0_usize..60) {
+    fn invalid_records_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200), cut in 0_usize..60) {
         if let Some(turn) = Turn::decode(&bytes) {
             prop_assert_eq!(Turn::decode(&turn.encode()), Some(turn));
         }
-        let whole = turn("t", Some("s"), "an input", "an output\n").encode();
-        let cut = cut.min(whole.len() - 1);
-        prop_assert_eq!(Turn::decode(&whole[..cut]), None);
+        let encoded = turn("t", Some("s"), "an input", "an output\n").encode();
+        let cut = cut.min(encoded.len() - 1);
+        prop_assert_eq!(Turn::decode(&encoded[..cut]), None);
     }
 }
--- a/tests/limit_usual.rs
+++ b/tests/limit_usual.rs
@@ -1,4 +1,4 @@
-//! Teams that send as much as they usually do, whose limit is small beside one program.
+//! Simulates teams at their usual rate, whose limits are small compared to one program.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -9,17 +9,18 @@
 use vanillatrail::policy::quota::{Demand, Quota, Request, Verdict};
 
 const TEAMS: u32 = 40;
-const LENGTH: Duration = Duration::from_secs(40);
-/// How many times its usual a limit is.
-const ROOM: f64 = 1.6;
-/// Time between the end of a step of a program and its next step.
-const PAUSE: Duration = Duration::from_millis(90);
-/// For how long a program of four turns and one of nine may wait in all: 0.4 and 0.3 of its time, and 250 ms.
-const SLACK: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(1)];
-/// Time that a request takes at its server.
-const TOOK: Duration = Duration::from_millis(60);
+/// Time in which programs start.
+const ARRIVAL_PERIOD: Duration = Duration::from_secs(40);
+/// Ratio of the limit to the usual rate.
+const HEADROOM: f64 = 1.6;
+/// Time between two steps of a program.
+const STEP_PAUSE: Duration = Duration::from_millis(90);
+/// Longest total wait of a short and of a long program within its target.
+const MAX_WAIT: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(1)];
+/// Time that a server takes for a request.
+const SERVICE_TIME: Duration = Duration::from_millis(60);
 
-fn bound() -> Tolerance {
+fn tolerance() -> Tolerance {
     Tolerance {
         window: Duration::from_secs(5),
         excess: 0.1,
@@ -27,22 +28,24 @@
     }
 }
 
-/// Requests of one step of a program, all at once, and those of its later steps.
+/// A program whose steps each send their requests at once.
 #[derive(Debug, Clone)]
 struct Program {
     class: u64,
+    /// Request counts of the later steps, the next one last.
     steps: Vec<u32>,
-    /// Requests of the current step that have not been granted.
-    open: u32,
-    /// Refusals of them.
+    /// Requests of the current step that are not granted yet.
+    pending: u32,
+    /// Refusals in the current step.
     refused: u32,
-    /// Time for which its requests waited for the limit.
+    /// Total time that requests waited for the limit.
     waited: Duration,
 }
 
 impl Program {
-    /// One of four turns, or of nine; some have helpers of two turns each. Each turn is followed by tool calls.
-    fn draw(rng: &mut StdRng) -> Self {
+    /// A program of four or nine turns, each followed by tool calls. Some turns start helpers of two turns
+    /// each.
+    fn random(rng: &mut StdRng) -> Self {
         let long = rng.random_bool(0.36);
         let (turns, helpers) = if long { (9, 0.15) } else { (4, 0.05) };
         let mut steps = Vec::new();
@@ -57,7 +60,7 @@
         steps.reverse();
         Self {
             class: u64::from(long),
-            open: steps.pop().unwrap_or_default(),
+            pending: steps.pop().unwrap_or_default(),
             steps,
             refused: 0,
             waited: Duration::ZERO,
@@ -65,94 +68,94 @@
     }
 
     fn requests(&self) -> u32 {
-        self.open + self.steps.iter().sum::<u32>()
+        self.pending + self.steps.iter().sum::<u32>()
     }
 }
 
-/// What became of the programs.
+/// Counts of programs.
 #[derive(Debug, Default, Clone, Copy)]
 struct Tally {
-    begun: u32,
-    /// Those of which no request was refused so often that it failed.
-    ended: u32,
-    /// Those of them that could wait as long as they did and be within their target.
-    soon: u32,
+    started: u32,
+    /// Completed without a request that ran out of attempts.
+    completed: u32,
+    /// Completed within [`MAX_WAIT`].
+    on_time: u32,
 }
 
-/// Plays one team that may send so many requests a second; the counter begins at `began`, which may be before.
-fn play(per_second: f64, seed: u64, tally: &mut Tally) {
+/// Simulates a team with this limit and adds the results to `tally`.
+fn simulate(per_second: f64, seed: u64, tally: &mut Tally) {
     let mut rng = StdRng::seed_from_u64(seed);
     let limit = Limit {
         per_second,
         burst: per_second,
     };
-    let begun = Instant::now();
-    let (mut quota, mut needs) = (Quota::new(begun), Demand::default());
+    let start = Instant::now();
+    let (mut quota, mut demand) = (Quota::new(start), Demand::default());
     let mut due: BTreeMap<(Instant, u64), Program> = BTreeMap::new();
-    let sizes: f64 = (0..500)
-        .map(|_| f64::from(Program::draw(&mut rng).requests()))
+    let request_sum: f64 = (0..500)
+        .map(|_| f64::from(Program::random(&mut rng).requests()))
         .sum();
-    let gap = sizes / 500.0 / (per_second / ROOM);
-    let (mut at, mut number) = (begun, 0);
-    while at < begun + LENGTH {
-        at += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() * gap);
+    let mean_gap_secs = request_sum / 500.0 / (per_second / HEADROOM);
+    let (mut at, mut number) = (start, 0);
+    while at < start + ARRIVAL_PERIOD {
+        at += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() * mean_gap_secs);
         number += 1;
-        due.insert((at, number), Program::draw(&mut rng));
+        due.insert((at, number), Program::random(&mut rng));
     }
-    tally.begun += u32::try_from(number).expect("few");
+    tally.started += u32::try_from(number).expect("few");
     while let Some(((now, number), mut program)) = due.pop_first() {
-        quota.configure(now, &bound(), limit, Share::Whole);
-        let (mut wait, mut back) = (Duration::ZERO, None);
-        while program.open > 0 {
+        quota.configure(now, &tolerance(), limit, Share::Whole);
+        let (mut wait, mut refusal) = (Duration::ZERO, None);
+        while program.pending > 0 {
             let request = Request {
                 program: Some(number),
                 class: Some(program.class),
                 max_wait: Duration::from_millis(700),
             };
-            match quota.decide(now, &mut needs, request) {
+            match quota.decide(now, &mut demand, request) {
                 Verdict::Granted(granted) => {
-                    program.open -= 1;
+                    program.pending -= 1;
                     wait = wait.max(granted);
                 }
-                Verdict::Refused(after) => {
+                Verdict::Refused(retry_after) => {
                     program.refused += 1;
-                    back = Some(after);
+                    refusal = Some(retry_after);
                     break;
                 }
             }
         }
         program.waited += wait;
-        if let Some(back) = back {
-            // A turn is tried three times, a call of a tool twice.
-            let tries = if program.open == 1 { 3 } else { 2 };
-            if program.refused < tries {
-                program.waited += back;
-                due.insert((now + back, number), program);
+        if let Some(retry_after) = refusal {
+            // A turn gets three attempts, a tool call two.
+            let attempts = if program.pending == 1 { 3 } else { 2 };
+            if program.refused < attempts {
+                program.waited += retry_after;
+                due.insert((now + retry_after, number), program);
             }
             continue;
         }
         program.refused = 0;
-        let Some(open) = program.steps.pop() else {
-            tally.ended += 1;
-            tally.soon += u32::from(program.waited < SLACK[usize::from(program.class == 1)]);
+        let Some(pending) = program.steps.pop() else {
+            tally.completed += 1;
+            tally.on_time += u32::from(program.waited < MAX_WAIT[usize::from(program.class == 1)]);
             continue;
         };
-        program.open = open;
-        due.insert((now + wait + TOOK + PAUSE, number), program);
+        program.pending = pending;
+        due.insert((now + wait + SERVICE_TIME + STEP_PAUSE, number), program);
     }
 }
 
-/// Forty teams send what they usually do. Their limits are small: two programs at once need all that a limit carries,
-/// and the calls of a program come four at a time. Nearly all programs end, and soon.
+/// Forty teams send at their usual rate. Their limits are small: two programs at once use up a limit, and tool
+/// calls come in bursts of four. Nearly all programs complete, most within their target.
 #[test]
-fn a_team_at_its_usual_is_seldom_refused() {
+fn a_team_at_its_usual_rate_is_rarely_refused() {
     let mut tally = Tally::default();
     for team in 0..TEAMS {
         let per_second = 12.0 + f64::from(team % 20);
-        play(per_second, u64::from(team), &mut tally);
+        simulate(per_second, u64::from(team), &mut tally);
     }
     println!("{tally:?}");
-    let share = |part: u32| f64::from(part) / f64::from(tally.begun);
-    assert!(share(tally.ended) >= 0.95, "{tally:?}");
-    assert!(share(tally.soon) >= 0.80, "{tally:?}");
+    let share = |count: u32| f64::from(count) / f64::from(tally.started);
+    assert!(share(tally.completed) >= 0.95, "{tally:?}");
+    assert!(share(tally.on_time) >= 0.80, "{tally:?}");
 }
