--- a/tests/conversation.rs
+++ b/tests/conversation.rs
@@ -62,7 +62,8 @@
     assert_eq!(cache.walk(now, &id("x"), 100), Walk::Missing(id("x")));
 }
 
-/// Callers choose turn ids, so a cycle of turns, with or without text, must not loop forever.
+/// Callers choose turn ids, so a cycle of empty turns must not loop forever. A history over the byte limit is
+/// rejected too.
 #[test]
 fn a_cyclic_history_is_too_long() {
     let (now, mut cache) = (Instant::now(), cache());
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -439,6 +439,6 @@
         .collect();
     let statuses = callers.into_iter().map(std::thread::JoinHandle::join);
     assert!(statuses.flatten().all(|status| status == 200));
-    let most = running.1.load(Ordering::SeqCst);
-    assert!(most <= 6, "{most} requests at once");
+    let max_running = running.1.load(Ordering::SeqCst);
+    assert!(max_running <= 6, "{max_running} requests at once");
 }
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -156,7 +156,7 @@
 fn completed_programs(by_program: bool) -> u32 {
     let limit = limit(12.0);
     let programs_per_second = (12.0 * 5.0 + 12.0) / 5.0 / f64::from(REQUESTS_PER_PROGRAM);
-    let gap = Duration::from_secs_f64(1.0 / (programs_per_second * 7.5));
+    let start_interval = Duration::from_secs_f64(1.0 / (programs_per_second * 7.5));
     let start = Instant::now();
     let (mut quota, mut demand) = (Quota::new(start), Demand::default());
     let mut programs: VecDeque<Program> = VecDeque::new();
@@ -165,7 +165,7 @@
         let now = start + STEP * step;
         quota.configure(now, &tolerance(), limit, Share::Whole);
         if next_start <= now {
-            next_start += gap;
+            next_start += start_interval;
             number += 1;
             programs.push_back(Program {
                 number,
--- a/tests/limit_usual.rs
+++ b/tests/limit_usual.rs
@@ -8,7 +8,7 @@
 use vanillatrail::policy::limit::{Limit, Share, Tolerance};
 use vanillatrail::policy::quota::{Demand, Quota, Request, Verdict};
 
-const TEAMS: u32 = 40;
+const TEAM_COUNT: u32 = 40;
 /// Time in which programs start.
 const ARRIVAL_PERIOD: Duration = Duration::from_secs(40);
 /// Ratio of the limit to the usual rate.
@@ -150,7 +150,7 @@
 #[test]
 fn a_team_at_its_usual_rate_is_rarely_refused() {
     let mut tally = Tally::default();
-    for team in 0..TEAMS {
+    for team in 0..TEAM_COUNT {
         let per_second = 12.0 + f64::from(team % 20);
         simulate(per_second, u64::from(team), &mut tally);
     }
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Refuses reads and appends of this topic.
+    /// Refuses reads and appends of this topic; `None` serves all.
     pub fn set_unavailable_topic(&self, topic: Option<&str>) {
         *self.unavailable_topic.lock().expect("not poisoned") = topic.map(ToOwned::to_owned);
     }
@@ -136,7 +136,7 @@
         self.silent.store(silent, Ordering::Relaxed);
     }
 
-    /// Refuses appends to topics whose names start with this prefix.
+    /// Refuses appends to topics whose names start with this prefix; `None` accepts all.
     pub fn refuse_appends(&self, topic: Option<&str>) {
         *self.refused_prefix.lock().expect("not poisoned") = topic.map(ToOwned::to_owned);
     }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -243,7 +243,7 @@
     });
 }
 
-/// Guards against an outdated directory on VMs for which only they have lost the store.
+/// Guards against an outdated directory on a VM that has lost the store while the others have it.
 #[test]
 fn a_vm_without_the_store_follows_a_member_that_has_it() {
     let store = Store::start();
@@ -272,7 +272,7 @@
     });
 }
 
-/// Guards against seconds without a reader, because readers stop for one that has lost the store.
+/// Guards against seconds without a reader: other readers must not stop for one that has lost the store.
 #[test]
 fn a_reader_that_lost_the_store_does_not_stop_its_replacement() {
     let store = Store::start();
