--- a/tests/member_start.rs
+++ b/tests/member_start.rs
@@ -2,7 +2,7 @@
 
 mod beat;
 
-use beat::beat;
+use beat::announcement;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 impl Group {
     fn start() -> Self {
         let now = Instant::now();
-        let announcements: Vec<Announcement> = (0..VM_COUNT).map(beat).collect();
+        let announcements: Vec<Announcement> = (0..VM_COUNT).map(announcement).collect();
         let seeds = vec![announcements[0].address];
         let nodes = announcements
             .iter()
@@ -75,7 +75,7 @@
             let Some(to) = self.index_by_address.get(&to).copied() else {
                 continue;
             };
-            let source = beat(u16::try_from(from).expect("the index fits")).address;
+            let source = announcement(u16::try_from(from).expect("the index fits")).address;
             let replies = self.nodes[to].on_message(self.now, source, message);
             pending.extend(replies.into_iter().map(|action| (to, action)));
         }
@@ -141,5 +141,5 @@
             .all(|count| *count == usize::from(VM_COUNT))
     );
     let view = group.nodes[0].view(group.now);
-    assert_eq!(view.members[&beat(5).vm].boot, Boot(1));
+    assert_eq!(view.members[&announcement(5).vm].boot, Boot(1));
 }
--- a/tests/member_view.rs
+++ b/tests/member_view.rs
@@ -2,7 +2,7 @@
 
 mod beat;
 
-use beat::beat;
+use beat::announcement;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -13,7 +13,7 @@
 /// changes the view but is not reported as a change.
 #[test]
 fn every_change_of_the_view_is_reported() {
-    let announcements = [beat(0), beat(1), beat(2)];
+    let announcements = [announcement(0), announcement(1), announcement(2)];
     let seeds: Vec<SocketAddr> = announcements
         .iter()
         .map(|announcement| announcement.address)
