--- a/tests/eviction.rs
+++ b/tests/eviction.rs
@@ -1,24 +1,25 @@
-//! Engine memory that is held for an ended program is always evicted.
+//! Cache that engines hold for an ended program is always evicted.
 
 mod support;
 
 use serde_json::json;
 use support::{Environment, model, poll};
 
-/// Tokens that the engines hold, by the stand-ins' own count.
-fn held(environment: &Environment) -> u64 {
-    let held = environment.engines.iter().map(|engine| {
+/// Tokens that the engines hold in cache, by their own counters.
+fn held_tokens(environment: &Environment) -> u64 {
+    let held_tokens = environment.engines.iter().map(|engine| {
         let counters = environment.counters(engine.address);
-        let held = counters["held"].as_object().expect("a map").values();
-        held.map(|tokens| tokens.as_u64().expect("a number"))
+        let held_tokens = counters["held"].as_object().expect("a map").values();
+        held_tokens
+            .map(|tokens| tokens.as_u64().expect("a number"))
             .sum::<u64>()
     });
-    held.sum()
+    held_tokens.sum()
 }
 
 fn wait_evicted(environment: &Environment) {
-    poll("the engines hold nothing", || {
-        (held(environment) == 0).then_some(())
+    poll("the engines hold no cache", || {
+        (held_tokens(environment) == 0).then_some(())
     });
 }
 
@@ -26,15 +27,14 @@
     let program = environment.open(0, "quick", key, 5000);
     let (status, answer) = environment.call(0, &program, &model(1, "Which levy applies?", 5));
     assert_eq!(status, 200, "{answer}");
-    assert!(held(environment) > 0);
+    assert!(held_tokens(environment) > 0);
     program
 }
 
-/// The program ends while its engine refuses evictions, and its owner is killed before any of them
-/// is taken. The engine comes back. The VM that takes the shard over finds the engine in the
-/// journaled list of those that hold cache for the program and evicts it.
+/// The engine refuses evictions when a program ends, and the owner is killed before one succeeds. The
+/// VM that takes over must find the engine in the journal and evict the cache.
 #[test]
-fn an_eviction_outlives_the_owner_that_owed_it() {
+fn an_eviction_is_completed_after_a_takeover() {
     let mut environment = Environment::start(1, 3);
     let program = ended_program(&environment, "evict-1");
     let owner = environment.owner(&program);
@@ -49,10 +49,10 @@
     wait_evicted(&environment);
 }
 
-/// The reply of the eviction is lost after it took effect. The owner evicts again, which frees
-/// nothing more and harms nothing; the record that ends the matter is written once a reply came.
+/// The reply to an eviction is lost. The owner must repeat the eviction, and the engine must not be
+/// listed for the program afterwards.
 #[test]
-fn an_eviction_whose_reply_is_lost_is_made_again() {
+fn an_eviction_whose_reply_is_lost_is_retried() {
     let environment = Environment::start(1, 3);
     let program = ended_program(&environment, "evict-2");
     environment.faults(
@@ -60,25 +60,24 @@
         &json!({ "lose_replies": 1 }),
     );
     environment.end(0, &program);
-    poll("the eviction was made again", || {
+    poll("the eviction is retried", || {
         let counters = environment.counters(environment.engines[0].address);
         (counters["evictions"].as_u64() >= Some(2)).then_some(())
     });
     wait_evicted(&environment);
-    poll("no engine is listed any more", || {
-        let (_, look) = environment.try_get(
+    poll("no engine is listed for the program", || {
+        let (_, view) = environment.try_get(
             environment.vms[0].callers,
             &format!("/v1/programs/{program}"),
         )?;
-        (look["resident"] == json!([])).then_some(())
+        (view["resident"] == json!([])).then_some(())
     });
 }
 
-/// The owner is killed while an answer streams, and nobody calls again: the program is ended at
-/// another VM. The engine was journaled before anything was sent, so the new owner evicts what
-/// the cut attempt has left there.
+/// The owner is killed in mid-stream and the program is ended at another VM. The new owner must evict
+/// the cache of the interrupted attempt, since the engine was journaled before the request was sent.
 #[test]
-fn the_cache_of_a_cut_attempt_is_evicted() {
+fn the_cache_of_an_interrupted_attempt_is_evicted() {
     let mut environment = Environment::start(1, 3);
     let program = environment.open(0, "quick", "evict-3", 5000);
     let owner = environment.owner(&program);
@@ -93,7 +92,7 @@
             environment.try_post(callers, &path, &call)
         });
         poll("the engine holds the prompt", || {
-            (held(&environment) > 0).then_some(())
+            (held_tokens(&environment) > 0).then_some(())
         });
     });
     environment.vms[owner].process.kill();
@@ -102,13 +101,13 @@
     wait_evicted(&environment);
 }
 
-/// A loop is cut by the turn limit of its class: the call past it is refused with that code, the
-/// program ends by itself, and the engines are freed without anybody asking.
+/// A program that loops is ended by the turn limit of its class, and its cache must be evicted without
+/// a request to end the program.
 #[test]
-fn a_program_that_loops_is_ended_and_freed() {
+fn a_looping_program_is_ended_and_its_cache_evicted() {
     let environment = Environment::start(1, 3);
     environment.publish("class/loop", json!({ "target_ms": 5000, "turns": 3 }), None);
-    let program = poll("the class is in force", || {
+    let program = poll("the class is applied", || {
         let body = json!({ "class": "loop", "key": "loop-1", "budget": { "tokens": 9000 } });
         let reply = environment.try_post(environment.vms[0].callers, "/v1/programs", &body)?;
         reply.1["program"].as_str().map(str::to_owned)
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, with and without engines that check fencing numbers.
+//! Orders to engines, with and without engines that check fencing tokens.
 
 mod support;
 
@@ -19,23 +19,22 @@
 }
 
 proptest! {
-    /// Two holders believe that they control one engine, which takes any order. The former is
-    /// paused at times and then sends what it held for right. Once it has sent its last order,
-    /// the engine ends at the goal of the newest holder and stays there.
+    /// Two VMs both control an engine that ignores fencing, and the former owner is paused at times. Once
+    /// it has sent its last order, the engine must converge to the goal of the new owner.
     #[test]
-    fn an_engine_that_ignores_fencing_ends_at_the_newest_goal(
+    fn an_engine_without_fencing_converges_to_the_newest_goal(
         schedule in prop::collection::vec((any::<bool>(), 1_u64..900), 1..60),
     ) {
         let server: Server = "e1".parse().expect("a name");
         let start = Instant::now();
         let mut now = start;
         let mut engine = goal("v0");
-        let mut holders = ["v1", "v2"].map(|weights| {
+        let mut owners = ["v1", "v2"].map(|weights| {
             let mut control = Control::new(now, Duration::from_secs(2), Duration::ZERO);
             control.aim(now, &BTreeMap::from([(server.clone(), goal(weights))]));
             control
         });
-        let mut act = |control: &mut Control, now: Instant| {
+        let mut run_due_steps = |control: &mut Control, now: Instant| {
             for (server, step) in control.due(now) {
                 match step {
                     Step::Read => control.read(now, &server, engine.clone()),
@@ -44,26 +43,26 @@
             }
             engine.clone()
         };
-        for (newest, wait) in schedule {
+        for (is_newest, wait) in schedule {
             now += Duration::from_millis(wait);
-            act(&mut holders[usize::from(newest)], now);
+            run_due_steps(&mut owners[usize::from(is_newest)], now);
         }
         for _ in 0..12 {
             now += Duration::from_millis(500);
-            act(&mut holders[1], now);
+            run_due_steps(&mut owners[1], now);
         }
-        prop_assert_eq!(act(&mut holders[1], now), goal("v2"));
+        prop_assert_eq!(run_due_steps(&mut owners[1], now), goal("v2"));
     }
 
-    /// Ten engines want new weights while holders succeed each other. Loads never start closer
-    /// to each other than the store allows, whoever starts them.
+    /// Ten engines load new weights while the controlling VM changes. Two loads must never start closer to
+    /// each other than the rate limit of the weight store allows.
     #[test]
-    fn the_rate_of_the_weight_store_holds_across_holders(
+    fn the_load_rate_limit_holds_across_owners(
         schedule in prop::collection::vec((0_u8..8, 1_u64..2000), 20..120),
     ) {
         let interval = Duration::from_secs(3);
         let goals: BTreeMap<Server, Goal> =
-            (0..10).map(|n| (format!("e{n}").parse().expect("a name"), goal("v1"))).collect();
+            (0..10).map(|index| (format!("e{index}").parse().expect("a name"), goal("v1"))).collect();
         let mut now = Instant::now();
         let mut loads: Vec<Instant> = Vec::new();
         let mut control = Control::new(now, Duration::from_secs(5), interval);
@@ -91,11 +90,10 @@
         .clone()
 }
 
-/// The engine takes any order. An operator asks for v1, then v2; then an order of a former holder
-/// for v1, delayed on the way, reaches the engine with its old fencing number. The holder reads v1
-/// back where it wants v2 and orders again, so the engine ends at v2.
+/// A delayed order of a former owner reaches an engine that ignores fencing. The owner must notice the
+/// older weights and order the current ones again.
 #[test]
-fn a_late_order_of_a_former_holder_is_undone() {
+fn a_delayed_order_of_a_former_owner_is_reverted() {
     let environment = Environment::start(1, 3);
     environment.faults(
         environment.engines[0].address,
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path, from caller to backend server, over separate processes.
+//! The whole path from caller to backend server, with separate processes.
 
 mod support;
 
@@ -13,10 +13,10 @@
 
     let (status, first) = environment.call(1, &program, &model(1, "Which levy applies?", 6));
     assert_eq!(status, 200, "{first}");
-    let (_, again) = environment.call(2, &program, &model(1, "Which levy applies?", 6));
-    assert_eq!(again, first);
-    let (status, other) = environment.call(2, &program, &model(1, "Another question", 6));
-    assert_eq!((status, &other["code"]), (409, &json!("VT1007")));
+    let (_, repeated) = environment.call(2, &program, &model(1, "Which levy applies?", 6));
+    assert_eq!(repeated, first);
+    let (status, conflicting) = environment.call(2, &program, &model(1, "Another question", 6));
+    assert_eq!((status, &conflicting["code"]), (409, &json!("VT1007")));
 
     let (status, rates) = environment.call(0, &program, &service(2, "rates", &json!({})));
     assert_eq!(status, 200, "{rates}");
@@ -34,8 +34,8 @@
         &format!("/v1/programs/{program}/calls/1"),
     );
     assert_eq!(read, first);
-    support::poll("the engines hold nothing", || {
-        let held = |engine: &support::Process| {
+    support::poll("the engines hold no cache", || {
+        let held_programs = |engine: &support::Process| {
             environment.counters(engine.address)["held"]
                 .as_object()
                 .map_or(1, serde_json::Map::len)
@@ -43,16 +43,15 @@
         environment
             .engines
             .iter()
-            .all(|engine| held(engine) == 0)
+            .all(|engine| held_programs(engine) == 0)
             .then_some(())
     });
 }
 
-/// The caller makes call 2 after the owner of its program was killed. The entry that it asks
-/// finds no owner until another VM has claimed the shard in the log and folded its records; the
-/// call then runs there, with the history, the budget and the kept answers of the first owner.
+/// The owner is killed between two calls. The second call must run at the VM that takes over, with the
+/// history, the budget and the stored answers of the first owner.
 #[test]
-fn a_program_goes_on_after_its_owner_is_killed() {
+fn a_program_continues_after_its_owner_is_killed() {
     let mut environment = Environment::start(1, 3);
     let program = environment.open(0, "quick", "levy-2", 5000);
     let (_, first) = environment.call(0, &program, &model(1, "Which levy applies?", 6));
@@ -66,8 +65,8 @@
         second["usage"]["prompt"].as_u64() > first["usage"]["prompt"].as_u64(),
         "{second}"
     );
-    let (_, again) = environment.call(entry, &program, &model(1, "Which levy applies?", 6));
-    assert_eq!(again, first);
+    let (_, repeated) = environment.call(entry, &program, &model(1, "Which levy applies?", 6));
+    assert_eq!(repeated, first);
     let (_, account) = environment.end(entry, &program);
     assert_eq!(account["calls"], 2);
 }
--- a/tests/promise_budget.rs
+++ b/tests/promise_budget.rs
@@ -1,4 +1,4 @@
-//! A program never spends beyond its budget.
+//! A program never spends more than its budget.
 
 mod support;
 
@@ -8,14 +8,14 @@
 use vanillatrail::journal::Body;
 use vanillatrail::program::{Answer, Budget, Message, Table, Usage};
 
-fn begun(environment: &Environment, program: &str) -> u64 {
+/// Number of calls of the program that the engine has started.
+fn started_calls(environment: &Environment, program: &str) -> u64 {
     let counters = environment.counters(environment.engines[0].address);
     counters["begun"][program].as_u64().unwrap_or(0)
 }
 
-/// Four children of one parent make calls at once until they are refused, at an engine that goes
-/// on past the number of tokens it was asked for. What the tree has used stays within the budget
-/// of the parent, whose own calls are refused while the children hold their parts.
+/// Four children make calls in parallel until they are refused, at an engine that generates more
+/// tokens than requested. The program tree must stay within the budget of the parent.
 #[test]
 fn parallel_children_stay_within_the_budget_of_their_parent() {
     let environment = Environment::start(1, 3);
@@ -30,7 +30,7 @@
     };
     let children: Vec<String> = (1..=4)
         .map(|call| environment.call(0, &program, &spawn(call)).1)
-        .map(|told| told["program"].as_str().expect("an id").to_owned())
+        .map(|response| response["program"].as_str().expect("an id").to_owned())
         .collect();
     assert_eq!(environment.call(0, &program, &spawn(5)).1["code"], "VT2001");
     assert_eq!(
@@ -40,7 +40,7 @@
     std::thread::scope(|scope| {
         for child in &children {
             let environment = &environment;
-            scope.spawn(move || spend(environment, child));
+            scope.spawn(move || spend_budget(environment, child));
         }
     });
     let (_, account) = environment.end(0, &program);
@@ -48,32 +48,34 @@
     assert!(account["tokens"].as_u64() > Some(400), "{account}");
 }
 
-/// Makes calls, each twice, until one is refused for the budget.
-fn spend(environment: &Environment, child: &str) {
+/// Makes each call twice, until one is refused for the budget.
+fn spend_budget(environment: &Environment, child: &str) {
     for call in 1.. {
         let body = model(call, "Rework", 40);
-        let (status, told) = environment.call(1, child, &body);
+        let (status, response) = environment.call(1, child, &body);
         if status != 200 {
             assert_eq!(
-                (&told["code"], &told["ran"]),
+                (&response["code"], &response["ran"]),
                 (&json!("VT2001"), &json!(false))
             );
-            assert_eq!(begun(environment, child), call - 1);
+            assert_eq!(started_calls(environment, child), call - 1);
             return;
         }
-        assert_eq!(told["usage"]["completion"], 40, "cut at the bound");
-        assert_eq!(environment.call(2, child, &body).1, told);
-        let (_, look) =
+        assert_eq!(
+            response["usage"]["completion"], 40,
+            "truncated at the requested length"
+        );
+        assert_eq!(environment.call(2, child, &body).1, response);
+        let (_, view) =
             environment.get(environment.vms[0].callers, &format!("/v1/programs/{child}"));
-        assert!(look["used"].as_u64() <= Some(240), "{look}");
+        assert!(view["used"].as_u64() <= Some(240), "{view}");
     }
 }
 
-/// The owner is killed while a call is streamed that may take most of the budget. The next owner
-/// can't know what was spent, counts all that was set aside, and refuses to run the call again:
-/// a second run would pass the budget.
+/// The owner is killed during a call. The next owner must count the whole reservation as spent and
+/// refuse to run the call again, since a second run could exceed the budget.
 #[test]
-fn a_takeover_counts_what_was_set_aside() {
+fn a_takeover_counts_the_reservation_as_spent() {
     let environment = Environment::start(1, 3);
     environment.faults(environment.engines[0].address, &json!({ "slower": 40 }));
     let program = environment.open(0, "quick", "route-2", 150);
@@ -85,20 +87,23 @@
     environment.vms[owner].process.signal("KILL");
     let last = stream.last().expect("a final event");
     assert_eq!(last.1["code"], "VT2001", "{last:?}");
-    assert_eq!(last.1["ran"], "unknown", "the lost owner had sent it");
-    let (_, again) = environment.call(entry, &program, &call);
-    assert_eq!(again["code"], "VT2001", "{again}");
-    assert_eq!(begun(&environment, &program), 1);
-    let (_, look) = environment.get(
+    assert_eq!(
+        last.1["ran"], "unknown",
+        "the killed owner had sent the call"
+    );
+    let (_, repeated) = environment.call(entry, &program, &call);
+    assert_eq!(repeated["code"], "VT2001", "{repeated}");
+    assert_eq!(started_calls(&environment, &program), 1);
+    let (_, view) = environment.get(
         environment.vms[entry].callers,
         &format!("/v1/programs/{program}"),
     );
-    assert!(look["used"].as_u64() <= Some(150), "{look}");
+    assert!(view["used"].as_u64() <= Some(150), "{view}");
 }
 
-/// A child that was given no number of calls would be free to make more than its parent has.
+/// A child without a call limit could make more calls than its parent may.
 #[test]
-fn a_child_of_a_parent_with_counted_calls_needs_a_count() {
+fn a_child_needs_a_call_limit_if_its_parent_has_one() {
     let environment = Environment::start(1, 1);
     let budget = json!({ "tokens": 900, "calls": 3 });
     let open = json!({ "class": "quick", "key": "route-3", "budget": budget });
@@ -106,23 +111,22 @@
     let program = opened["program"].as_str().expect("an id");
     let spawn =
         |budget: Value| json!({ "call": 1, "spawn": { "class": "rework", "budget": budget } });
-    let (_, told) = environment.call(0, program, &spawn(json!({ "tokens": 100 })));
-    assert_eq!(told["code"], "VT2001", "{told}");
+    let (_, response) = environment.call(0, program, &spawn(json!({ "tokens": 100 })));
+    assert_eq!(response["code"], "VT2001", "{response}");
     let (status, child) =
         environment.call(0, program, &spawn(json!({ "tokens": 100, "calls": 2 })));
     assert_eq!(status, 200, "{child}");
-    let (_, told) = environment.call(0, program, &model(2, "Go on", 10));
+    let (_, response) = environment.call(0, program, &model(2, "Go on", 10));
     assert_eq!(
-        told["code"], "VT2001",
-        "one for the spawn, two for the child: {told}"
+        response["code"], "VT2001",
+        "one call for the spawn and two reserved for the child: {response}"
     );
 }
 
-/// An engine reports far too many prompt tokens once and the true number afterwards. The tokens
-/// of the later calls count in full; taken from the wrong report, they would look as if they had
-/// been counted before, and the program would go on past its budget.
+/// An engine reports far too many prompt tokens once. The tokens of later calls must still be charged
+/// in full, rather than be taken for tokens already counted.
 #[test]
-fn a_wrong_usage_report_does_not_make_later_tokens_free() {
+fn an_inflated_usage_report_does_not_hide_later_tokens() {
     let id = Program::new(Shard(0), 1);
     let class: Class = "quick".parse().expect("a name");
     let server: Server = "e0".parse().expect("a name");
--- a/tests/promise_conversation.rs
+++ b/tests/promise_conversation.rs
@@ -1,5 +1,5 @@
-//! Conversations that the system keeps, through the binary: what a server gets, what outlasts the loss
-//! of VMs, and what a caller is told.
+//! Conversations with saved turns, through the binary: the history that a backend server gets, loss of
+//! VMs, store outages, and what the caller is answered.
 
 mod platform;
 
@@ -9,19 +9,28 @@
 
 const ROUTE: &str = "/chat/";
 
-/// A server that ends each stream of two events whole.
-fn talker() -> Backend {
+/// A backend server that answers each request with a complete stream of two events.
+fn start_backend() -> Backend {
     Backend::start(|request, _| {
         let id = request.header("x-request-id");
-        let said = [1, 2].map(|event| chunk(&format!("id: {event}\ndata: {id}.{event}\n\n")));
-        Act::Keep(format!("{}{}{}0\r\n\r\n", head(request), said[0], said[1]).into_bytes())
+        let events_of_answer =
+            [1, 2].map(|event| chunk(&format!("id: {event}\ndata: {id}.{event}\n\n")));
+        Act::Keep(
+            format!(
+                "{}{}{}0\r\n\r\n",
+                head(request),
+                events_of_answer[0],
+                events_of_answer[1]
+            )
+            .into_bytes(),
+        )
     })
 }
 
 fn store(backend: &Backend) -> Store {
     let store = Store::start();
-    let kept = json!({ "retain": true, "canResume": false, "attempts": 1 });
-    store.configure(1, &[(ROUTE, "stream", kept)]);
+    let settings = json!({ "retain": true, "canResume": false, "attempts": 1 });
+    store.configure(1, &[(ROUTE, "stream", settings)]);
     store.register("s", "pool", backend.address, "ready");
     store
 }
@@ -30,15 +39,15 @@
     let vms = std::array::from_fn(|_| Vm::start(store));
     for vm in &vms {
         vm.wait_ready();
-        until("they know each other", || {
+        until("the VMs know each other", || {
             vm.state()["members"].as_array().map(Vec::len) == Some(COUNT)
         });
     }
     vms
 }
 
-/// One turn: its identity, the one before, and what is new.
-fn say(vm: &Vm, id: &str, prev: Option<&str>, input: &str) -> Reply {
+/// Sends one turn with its id, the id of the previous turn, and the new input.
+fn send_turn(vm: &Vm, id: &str, prev: Option<&str>, input: &str) -> Reply {
     let mut headers = vec![
         ("X-Request-Id", id),
         ("X-Program", "p"),
@@ -48,147 +57,151 @@
     call(vm.callers, "POST", "/chat/x", &headers, input.as_bytes())
 }
 
-fn whole(vm: &Vm, id: &str, prev: Option<&str>, input: &str) {
-    let reply = say(vm, id, prev, input);
+fn send_complete_turn(vm: &Vm, id: &str, prev: Option<&str>, input: &str) {
+    let reply = send_turn(vm, id, prev, input);
     assert!(reply.status == 200 && reply.whole, "{id}: {reply:?}");
 }
 
-/// What the server got last.
-fn heard(backend: &Backend) -> String {
-    let seen = backend.requests.lock().expect("not poisoned");
-    let last = seen.last().expect("it got one");
+/// Body of the last request that the backend server received.
+fn last_request_body(backend: &Backend) -> String {
+    let requests = backend.requests.lock().expect("not poisoned");
+    let last = requests.last().expect("a request");
     String::from_utf8_lossy(&last.body).into_owned()
 }
 
-/// A caller sends only what is new. The server gets all that was said before, byte for byte, though
-/// each turn comes through another VM; two turns may go on from one.
+/// A caller sends only the new input. The backend server must get the whole history byte for byte, also
+/// when turns arrive at different VMs and when two turns follow the same one.
 #[test]
-fn a_turn_goes_on_from_all_before_it() {
-    let backend = talker();
+fn a_turn_is_sent_with_the_whole_history() {
+    let backend = start_backend();
     let store = store(&backend);
     let [a, b] = vms::<2>(&store);
-    whole(&a, "t1", None, "one");
-    assert_eq!(heard(&backend), "one");
-    whole(&b, "t2", Some("t1"), "two");
-    assert_eq!(heard(&backend), "onet1.1\nt1.2\ntwo");
-    whole(&a, "t3", Some("t2"), "three");
-    assert_eq!(heard(&backend), "onet1.1\nt1.2\ntwot2.1\nt2.2\nthree");
-    whole(&a, "u2", Some("t1"), "other");
-    assert_eq!(heard(&backend), "onet1.1\nt1.2\nother");
+    send_complete_turn(&a, "t1", None, "one");
+    assert_eq!(last_request_body(&backend), "one");
+    send_complete_turn(&b, "t2", Some("t1"), "two");
+    assert_eq!(last_request_body(&backend), "onet1.1\nt1.2\ntwo");
+    send_complete_turn(&a, "t3", Some("t2"), "three");
+    assert_eq!(
+        last_request_body(&backend),
+        "onet1.1\nt1.2\ntwot2.1\nt2.2\nthree"
+    );
+    send_complete_turn(&a, "u2", Some("t1"), "other");
+    assert_eq!(last_request_body(&backend), "onet1.1\nt1.2\nother");
 }
 
-/// The VM that served a turn loses power right after the answer, and then all do. The caller goes on
-/// through another VM, and through one that has just started: the store had the turn before its
-/// answer ended.
+/// All VMs are killed after a turn was answered. The conversation must continue at another VM and at a
+/// restarted one, since the turn was stored before its answer ended.
 #[test]
-fn a_kept_turn_outlasts_all_vms() {
-    let backend = talker();
+fn a_saved_turn_survives_the_loss_of_all_vms() {
+    let backend = start_backend();
     let store = store(&backend);
     let [mut a, mut b] = vms::<2>(&store);
-    whole(&a, "t1", None, "one");
+    send_complete_turn(&a, "t1", None, "one");
     a.kill();
-    until("the other one goes on", || {
-        say(&b, "t2", Some("t1"), "two").whole
+    until("the other VM continues", || {
+        send_turn(&b, "t2", Some("t1"), "two").whole
     });
-    assert_eq!(heard(&backend), "onet1.1\nt1.2\ntwo");
+    assert_eq!(last_request_body(&backend), "onet1.1\nt1.2\ntwo");
     b.kill();
     a.restart();
     a.wait_ready();
-    until("a new one goes on", || {
-        say(&a, "t3", Some("t2"), "three").whole
+    until("a restarted VM continues", || {
+        send_turn(&a, "t3", Some("t2"), "three").whole
     });
-    assert_eq!(heard(&backend), "onet1.1\nt1.2\ntwot2.1\nt2.2\nthree");
+    assert_eq!(
+        last_request_body(&backend),
+        "onet1.1\nt1.2\ntwot2.1\nt2.2\nthree"
+    );
 }
 
-/// The store takes no turns. The caller has its events at once, and the end only when the store is
-/// back: an end before would promise a turn that the loss of all VMs would take away. Where the store
-/// stays away for as long as the caller waits, the answer is cut, and there is no turn.
+/// During a store outage the events reach the caller at once, but the answer must not end before its turn
+/// is stored. If the outage lasts until the deadline, the answer is cut and no turn exists.
 #[test]
-fn an_answer_ends_once_its_turn_is_kept() {
-    let backend = talker();
+fn an_answer_ends_only_after_its_turn_is_stored() {
+    let backend = start_backend();
     let store = store(&backend);
     let [vm] = vms::<1>(&store);
     store.set_stuck(Some("keyed.turn"));
     let began = Instant::now();
     let reply = std::thread::scope(|scope| {
-        let waiting = scope.spawn(|| say(&vm, "t1", None, "one"));
+        let waiting = scope.spawn(|| send_turn(&vm, "t1", None, "one"));
         std::thread::sleep(Duration::from_secs(1));
         store.set_stuck(None);
-        waiting.join().expect("it does not panic")
+        waiting.join().expect("no panic")
     });
     assert!(reply.whole && began.elapsed() >= Duration::from_secs(1));
     store.set_stuck(Some("keyed.turn"));
-    let cut = say(&vm, "t2", Some("t1"), "two");
+    let cut = send_turn(&vm, "t2", Some("t1"), "two");
     assert_eq!((cut.status, cut.whole), (200, false));
     assert!(cut.text().contains("t2.2"), "{}", cut.text());
     store.set_stuck(None);
-    assert_eq!(say(&vm, "t3", Some("t2"), "three").status, 404);
+    assert_eq!(send_turn(&vm, "t3", Some("t2"), "three").status, 404);
 }
 
-/// The store does not take turns in their own partitions, but in others. They are recorded there, and
-/// are found there after the loss of all VMs.
+/// The store accepts no turns in their own partitions. They must be written to the fallback topic and
+/// found there after the loss of all VMs.
 #[test]
-fn a_turn_takes_a_detour() {
-    let backend = talker();
+fn a_turn_is_stored_in_the_fallback_topic() {
+    let backend = start_backend();
     let store = store(&backend);
     let [mut vm] = vms::<1>(&store);
     store.set_stuck(Some("keyed.turns"));
-    whole(&vm, "t1", None, "one");
+    send_complete_turn(&vm, "t1", None, "one");
     assert!(!store.values("keyed.turndetour").is_empty());
     vm.kill();
     vm.restart();
     vm.wait_ready();
-    whole(&vm, "t2", Some("t1"), "two");
-    assert_eq!(heard(&backend), "onet1.1\nt1.2\ntwo");
+    send_complete_turn(&vm, "t2", Some("t1"), "two");
+    assert_eq!(last_request_body(&backend), "onet1.1\nt1.2\ntwo");
 }
 
-/// A server breaks off in the middle of an answer. The caller's answer is cut as well, and leaves no
-/// turn: who names it is told so, and nothing reaches a server.
+/// A backend server breaks off in the middle of an answer. The caller's answer must be cut too, and a
+/// request that names the turn must be refused without reaching a server.
 #[test]
-fn a_broken_answer_leaves_no_turn() {
+fn a_truncated_answer_saves_no_turn() {
     let backend = Backend::start(|request, _| {
         Act::Close(format!("{}{}", head(request), events(1..=1)).into_bytes())
     });
     let store = store(&backend);
     let [vm] = vms::<1>(&store);
-    let cut = say(&vm, "t1", None, "one");
+    let cut = send_turn(&vm, "t1", None, "one");
     assert_eq!((cut.status, cut.whole), (200, false));
-    let reply = say(&vm, "t2", Some("t1"), "two");
+    let reply = send_turn(&vm, "t2", Some("t1"), "two");
     assert_eq!(reply.status, 404);
     assert!(reply.text().contains("VT1013"), "{}", reply.text());
     assert_eq!(backend.count(), 1);
 }
 
-/// The store can't be read, and no VM has the turn in memory. Whether there is such a turn is not
-/// known, so the caller is told when to come back, at once and not at the end of its time.
+/// The store cannot be read and no VM has the turn in memory. The caller must get a retry-after at once,
+/// and not an error that says that the turn does not exist.
 #[test]
-fn a_turn_that_cannot_be_read_is_not_denied() {
-    let backend = talker();
+fn an_unreadable_turn_is_not_reported_as_missing() {
+    let backend = start_backend();
     let store = store(&backend);
     let [mut vm] = vms::<1>(&store);
-    whole(&vm, "t1", None, "one");
+    send_complete_turn(&vm, "t1", None, "one");
     vm.kill();
     vm.restart();
     vm.wait_ready();
     store.set_down(true);
     let began = Instant::now();
-    let reply = say(&vm, "t2", Some("t1"), "two");
+    let reply = send_turn(&vm, "t2", Some("t1"), "two");
     assert_eq!(reply.status, 503, "{}", reply.text());
     assert!(reply.headers.contains_key("retry-after"));
     assert!(began.elapsed() < Duration::from_secs(2));
     assert_eq!(backend.count(), 1);
     store.set_down(false);
     until("the store is read again", || {
-        say(&vm, "t3", Some("t1"), "two").whole
+        send_turn(&vm, "t3", Some("t1"), "two").whole
     });
-    assert_eq!(heard(&backend), "onet1.1\nt1.2\ntwo");
+    assert_eq!(last_request_body(&backend), "onet1.1\nt1.2\ntwo");
 }
 
-/// What passes a bound is refused before it runs, with a code: a turn that would not fit into a record,
-/// and an identity that no turn can have.
+/// Requests whose previous turn is unknown or has an id beyond the length limit are refused before they
+/// reach a server.
 #[test]
-fn what_passes_a_bound_is_refused() {
-    let backend = talker();
+fn unknown_and_overlong_turn_ids_are_refused() {
+    let backend = start_backend();
     let store = store(&backend);
     store.configure(
         2,
@@ -200,16 +213,16 @@
     );
     let [vm] = vms::<1>(&store);
     let long = "x".repeat(200);
-    assert_eq!(say(&vm, "t1", Some(&long), "one").status, 404);
-    assert_eq!(say(&vm, "t2", Some("none"), "one").status, 404);
+    assert_eq!(send_turn(&vm, "t1", Some(&long), "one").status, 404);
+    assert_eq!(send_turn(&vm, "t2", Some("none"), "one").status, 404);
     assert_eq!(backend.count(), 0);
 }
 
-/// Half an answer can't be made whole by its second half: a caller that wants to go on within a turn
-/// that is kept is asked to begin it again.
+/// The second half of an answer cannot be saved as a turn: a caller that resumes a stream within a saved
+/// turn is asked to send the turn again.
 #[test]
-fn a_kept_turn_begins_at_its_start() {
-    let backend = talker();
+fn a_saved_turn_cannot_be_resumed_midway() {
+    let backend = start_backend();
     let store = store(&backend);
     let [vm] = vms::<1>(&store);
     let headers = [("X-Request-Id", "t1"), ("Last-Event-Id", "1")];
@@ -219,15 +232,15 @@
     assert_eq!(backend.count(), 0);
 }
 
-/// The store takes no turns, and all VMs lose power before it is back. A turn that only VMs held would
-/// be gone, though its caller had been told that it was whole; so no answer may have ended.
+/// The store accepts no turns and all VMs are killed. An answer that had ended although its turn was only
+/// in memory would leave the conversation without that turn.
 #[test]
-fn no_turn_rests_on_vms_alone() {
-    let backend = talker();
+fn no_answer_ends_with_its_turn_only_in_memory() {
+    let backend = start_backend();
     let store = store(&backend);
     let mut vms = vms::<3>(&store);
     store.set_stuck(Some("keyed.turn"));
-    let ended = say(&vms[0], "t1", None, "one").whole;
+    let ended = send_turn(&vms[0], "t1", None, "one").whole;
     for vm in &mut vms {
         vm.kill();
     }
@@ -236,57 +249,56 @@
         vm.restart();
         vm.wait_ready();
     }
-    let served = say(&vms[0], "t2", Some("t1"), "two").status == 200;
+    let served = send_turn(&vms[0], "t2", Some("t1"), "two").status == 200;
     assert_eq!(ended, served);
 }
 
-/// All VMs lose power, and reading a bucket of turns takes half a second then, since small VMs read many
-/// at once. Callers come back all together; each goes on within its time, those that want a turn of one
-/// bucket after one read of it. Reads were given up after 0.3 s, and begun again for each that waited.
+/// After the loss of all VMs, reads of the store are slow and many callers continue at once. Each must
+/// succeed within its deadline, so reads of one bucket have to be shared and not be abandoned early.
 #[test]
-fn many_go_on_after_the_loss_of_all_vms() {
-    const MANY: usize = 12;
-    let backend = talker();
+fn many_conversations_continue_after_the_loss_of_all_vms() {
+    const CONVERSATIONS: usize = 12;
+    let backend = start_backend();
     let store = store(&backend);
     let [mut vm] = vms::<1>(&store);
-    for number in 0..MANY {
-        whole(&vm, &format!("t{number}"), None, "one");
+    for number in 0..CONVERSATIONS {
+        send_complete_turn(&vm, &format!("t{number}"), None, "one");
     }
     vm.kill();
     store.set_read_time(Duration::from_millis(500));
     vm.restart();
     vm.wait_ready();
-    let (vm, next) = (&vm, |number| format!("u{number}"));
+    let (vm, next_id) = (&vm, |number| format!("u{number}"));
     std::thread::scope(|scope| {
-        let callers = (0..MANY * 2).map(|number| {
-            let prev = format!("t{}", number % MANY);
-            scope.spawn(move || say(vm, &next(number), Some(&prev), "two"))
+        let callers = (0..CONVERSATIONS * 2).map(|number| {
+            let prev = format!("t{}", number % CONVERSATIONS);
+            scope.spawn(move || send_turn(vm, &next_id(number), Some(&prev), "two"))
         });
         let callers: Vec<_> = callers.collect();
         for caller in callers {
-            let reply = caller.join().expect("it does not panic");
+            let reply = caller.join().expect("no panic");
             assert!(reply.status == 200 && reply.whole, "{reply:?}");
         }
     });
 }
 
-/// The store takes no turns from one VM, and serves the other. The turn is recorded by that one, the
-/// answer ends, and after the loss of both the conversation goes on.
+/// The store rejects the turns of one VM only. The other VM must store them on its behalf, so that the
+/// conversation continues after the loss of both.
 #[test]
-fn another_vm_records_what_the_store_does_not_take() {
-    let backend = talker();
+fn a_turn_is_stored_through_another_vm() {
+    let backend = start_backend();
     let store = store(&backend);
-    let door = store.door();
-    let mut vms = [Vm::start(&door), Vm::start(&store)];
+    let second_listener = store.door();
+    let mut vms = [Vm::start(&second_listener), Vm::start(&store)];
     for vm in &vms {
         vm.wait_ready();
-        until("they know each other", || {
+        until("the VMs know each other", || {
             vm.state()["members"].as_array().map(Vec::len) == Some(2)
         });
     }
-    door.set_stuck(Some("keyed.turn"));
-    whole(&vms[0], "t1", None, "one");
-    until("it is told", || {
+    second_listener.set_stuck(Some("keyed.turn"));
+    send_complete_turn(&vms[0], "t1", None, "one");
+    until("the relayed turn is logged", || {
         !vms[0]
             .lines("event=turn_kept id=t1 prev=\"\" bytes=13 at=relay")
             .is_empty()
@@ -296,6 +308,6 @@
     }
     vms[1].restart();
     vms[1].wait_ready();
-    whole(&vms[1], "t2", Some("t1"), "two");
-    assert_eq!(heard(&backend), "onet1.1\nt1.2\ntwo");
+    send_complete_turn(&vms[1], "t2", Some("t1"), "two");
+    assert_eq!(last_request_body(&backend), "onet1.1\nt1.2\ntwo");
 }
--- a/tests/promise_history.rs
+++ b/tests/promise_history.rs
@@ -1,18 +1,18 @@
-//! A program's history is never lost and never mixed with that of another.
+//! The history of a program is never lost and never mixed with that of another.
 
 mod support;
 
 use serde_json::{Value, json};
 use support::{Environment, model};
 
-/// One program and what its history has to be.
-struct Told {
+/// A program with the answers that its history must consist of.
+struct ExpectedHistory {
     program: String,
     answers: Vec<(Value, Value)>,
     bytes: u64,
 }
 
-impl Told {
+impl ExpectedHistory {
     fn new(environment: &Environment, key: &str) -> Self {
         let program = environment.open(0, "quick", key, 50_000);
         let (answers, bytes) = (Vec::new(), 0);
@@ -23,12 +23,12 @@
         }
     }
 
-    fn next(&self) -> Value {
+    fn next_call(&self) -> Value {
         let call = self.answers.len() as u64 + 1;
         model(call, &format!("{} asks {call}", self.program), 12)
     }
 
-    fn took(&mut self, body: Value, (status, answer): (u16, Value)) {
+    fn add_answer(&mut self, body: Value, (status, answer): (u16, Value)) {
         assert_eq!(status, 200, "{answer}");
         let question = body["model"]["messages"][0]["content"].as_str();
         let text = answer["text"].as_str().expect("text");
@@ -36,35 +36,33 @@
         self.answers.push((body, answer));
     }
 
-    /// Every answer is kept as it was told, and the history is made of them and nothing else.
+    /// Checks that every answer can be fetched again unchanged and that the history holds nothing else.
     fn check(&self, environment: &Environment, vm: usize, step: &str) {
         for (body, answer) in &self.answers {
-            let (_, again) = environment.call(vm, &self.program, body);
-            assert_eq!(again, *answer, "{step}");
+            let (_, repeated) = environment.call(vm, &self.program, body);
+            assert_eq!(repeated, *answer, "{step}");
         }
         let path = format!("/v1/programs/{}", self.program);
-        let (_, look) = environment.get(environment.vms[vm].callers, &path);
+        let (_, view) = environment.get(environment.vms[vm].callers, &path);
         assert_eq!(
-            look["history_messages"],
+            view["history_messages"],
             2 * self.answers.len(),
-            "{step}: {look}"
+            "{step}: {view}"
         );
-        assert_eq!(look["history_bytes"], self.bytes, "{step}: {look}");
+        assert_eq!(view["history_bytes"], self.bytes, "{step}: {view}");
     }
 }
 
-/// Two programs make one call after the other. In each the owner is killed at another step: with
-/// the record of the start on its way or in the log, with the answer half streamed, with the
-/// record of the answer on its way or in the log, after the answer, and while the log is down.
-/// The caller is answered each time, and no answer that was told changes or is lost.
+/// The owner is killed at each step of a call in turn. The caller must be answered each time, and no
+/// earlier answer may change or be lost.
 #[test]
-fn a_history_outlives_its_owner_at_any_step() {
+fn a_history_survives_an_owner_killed_at_any_step() {
     let mut environment = Environment::start(1, 3);
     let slow = json!({ "slower": 10, "vary": true });
     environment.faults(environment.engines[0].address, &slow);
     let mut programs = [
-        Told::new(&environment, "fleet-1"),
-        Told::new(&environment, "fleet-2"),
+        ExpectedHistory::new(&environment, "fleet-1"),
+        ExpectedHistory::new(&environment, "fleet-2"),
     ];
     let steps = [
         "start sent",
@@ -76,34 +74,35 @@
         "outage",
     ];
     for (index, step) in steps.into_iter().enumerate() {
-        let told = &mut programs[index % 2];
-        let owner = environment.owner(&told.program);
+        let expected = &mut programs[index % 2];
+        let owner = environment.owner(&expected.program);
         let entry = (owner + 1) % 3;
-        let body = told.next();
-        let before = records(&environment, &told.program);
-        hold_at(&environment, step);
+        let body = expected.next_call();
+        let before = record_counts(&environment, &expected.program);
+        inject_fault(&environment, step);
         let answer = std::thread::scope(|scope| {
-            let call = scope.spawn(|| environment.call(entry, &told.program, &body));
-            kill_at(&environment, step, &told.program, owner, before);
+            let call = scope.spawn(|| environment.call(entry, &expected.program, &body));
+            kill_owner_at(&environment, step, &expected.program, owner, before);
             call.join().expect("the caller is answered")
         });
-        told.took(body, answer);
+        expected.add_answer(body, answer);
         environment.vms[owner].process.kill();
         environment.restart_vm(owner);
         environment.wait_ready(owner);
-        for told in &programs {
-            told.check(&environment, entry, step);
-            told.check(&environment, owner, step);
+        for expected in &programs {
+            expected.check(&environment, entry, step);
+            expected.check(&environment, owner, step);
         }
     }
 }
 
-/// Records of started and of answered calls.
-fn records(environment: &Environment, program: &str) -> [u64; 2] {
+/// Numbers of records of started and of answered calls in the log.
+fn record_counts(environment: &Environment, program: &str) -> [u64; 2] {
     ["begun", "done"].map(|kind| environment.entries(&[program, kind]))
 }
 
-fn hold_at(environment: &Environment, step: &str) {
+/// Injects the fault that keeps the call at the step.
+fn inject_fault(environment: &Environment, step: &str) {
     let log = environment.log.address;
     match step {
         "start sent" => environment.faults(log, &json!({ "frozen": true })),
@@ -112,11 +111,18 @@
     }
 }
 
-fn kill_at(environment: &Environment, step: &str, program: &str, owner: usize, before: [u64; 2]) {
+/// Waits until the call is at the step and kills the owner.
+fn kill_owner_at(
+    environment: &Environment,
+    step: &str,
+    program: &str,
+    owner: usize,
+    before: [u64; 2],
+) {
     let log = environment.log.address;
     let wait_record = |kind: usize| {
-        support::poll("the record", || {
-            (records(environment, program)[kind] > before[kind]).then_some(())
+        support::poll("the record is in the log", || {
+            (record_counts(environment, program)[kind] > before[kind]).then_some(())
         });
     };
     match step {
@@ -128,7 +134,7 @@
     match step {
         "answer sent" => {
             environment.faults(log, &json!({ "down": true }));
-            support::poll("the stream's end", || {
+            support::poll("the stream has ended", || {
                 (environment.stage(owner, program).as_deref() != Some("stream")).then_some(())
             });
         }
@@ -141,31 +147,31 @@
     }
     environment.vms[owner].process.signal("KILL");
     if step == "outage" {
-        // Long enough for the others to miss the owner while the log can't order their claims.
+        // Long enough for the others to suspect the owner while the log accepts no claims.
         std::thread::sleep(std::time::Duration::from_secs(4));
     }
     environment.heal();
 }
 
-/// The owner is killed, and the VM that takes over as well. The last one has the whole history
-/// from the log.
+/// The owner and then its successor are killed. The third VM must recover the whole history from the
+/// log.
 #[test]
-fn a_history_outlives_two_kills_in_a_row() {
+fn a_history_survives_two_takeovers() {
     let environment = Environment::start(1, 3);
-    let mut told = Told::new(&environment, "fleet-3");
+    let mut expected = ExpectedHistory::new(&environment, "fleet-3");
     for _ in 0..3 {
-        let body = told.next();
-        let answer = environment.call(0, &told.program, &body);
-        told.took(body, answer);
+        let body = expected.next_call();
+        let answer = environment.call(0, &expected.program, &body);
+        expected.add_answer(body, answer);
     }
-    let mut left = vec![0, 1, 2];
+    let mut alive = vec![0, 1, 2];
     for _ in 0..2 {
-        let owner = environment.owner(&told.program);
+        let owner = environment.owner(&expected.program);
         environment.vms[owner].process.signal("KILL");
-        left.retain(|vm| *vm != owner);
-        let body = told.next();
-        let answer = environment.call(left[0], &told.program, &body);
-        told.took(body, answer);
-        told.check(&environment, left[0], "killed");
+        alive.retain(|vm| *vm != owner);
+        let body = expected.next_call();
+        let answer = environment.call(alive[0], &expected.program, &body);
+        expected.add_answer(body, answer);
+        expected.check(&environment, alive[0], "killed");
     }
 }
--- a/tests/promise_once.rs
+++ b/tests/promise_once.rs
@@ -1,4 +1,4 @@
-//! A call that must not be repeated runs at most once, whatever is lost on the way.
+//! A call that must not be repeated runs at most once, whatever fails on the way.
 
 mod support;
 
@@ -6,32 +6,32 @@
 use std::time::Duration;
 use support::{Environment, poll, service};
 
-/// What the caller of a receipt was told, and where.
-struct Told {
+/// What the caller of a receipt was answered, with the owner at that time.
+struct ReceiptOutcome {
     program: String,
     owner: usize,
     status: u16,
     body: Value,
 }
 
-/// Makes call 1 of a new program, a filing receipt, at a VM that is not the owner. `before` comes
-/// ahead of the call; `during` gets the program and its owner while the call is under way.
-fn receipt(
+/// Makes call 1 of a new program, a filing receipt, at a VM that is not the owner. `before` runs
+/// ahead of the call, `during` while it is in flight, with the program and its owner.
+fn issue_receipt(
     environment: &Environment,
     key: &str,
     before: impl FnOnce(),
     during: impl FnOnce(&str, usize),
-) -> Told {
+) -> ReceiptOutcome {
     let program = environment.open(0, "quick", key, 5000);
     let owner = environment.owner(&program);
     before();
     let entry = (owner + 1) % environment.vms.len();
     let (status, body) = std::thread::scope(|scope| {
-        let call = scope.spawn(|| environment.call(entry, &program, &file()));
+        let call = scope.spawn(|| environment.call(entry, &program, &receipt_call()));
         during(&program, owner);
         call.join().expect("the caller is answered")
     });
-    Told {
+    ReceiptOutcome {
         program,
         owner,
         status,
@@ -39,12 +39,12 @@
     }
 }
 
-fn file() -> Value {
+fn receipt_call() -> Value {
     service(1, "receipt", &json!({}))
 }
 
-impl Told {
-    /// What was told agrees with the effects, and asking again changes neither.
+impl ReceiptOutcome {
+    /// Checks that the answer agrees with the effects, and that repeating the call changes neither.
     fn check(&self, environment: &Environment, step: &str) {
         let effects = environment.effects(&self.program, 1);
         let agrees = match (self.status, &self.body["ran"]) {
@@ -52,11 +52,11 @@
             (_, Value::Bool(false)) => effects == 0,
             _ => effects <= 1,
         };
-        assert!(agrees, "{step}: {effects} effects, told {}", self.body);
+        assert!(agrees, "{step}: {effects} effects, answered {}", self.body);
         let entry = (self.owner + 2) % environment.vms.len();
-        let again = environment.call(entry, &self.program, &file());
+        let repeated = environment.call(entry, &self.program, &receipt_call());
         if self.body["ran"] != json!(false) {
-            assert_eq!(again, (self.status, self.body.clone()), "{step}");
+            assert_eq!(repeated, (self.status, self.body.clone()), "{step}");
             assert_eq!(environment.effects(&self.program, 1), effects, "{step}");
         }
     }
@@ -67,37 +67,34 @@
 }
 
 fn wait_effect(environment: &Environment, program: &str) {
-    poll("the effect", || {
+    poll("the effect has happened", || {
         (environment.effects(program, 1) == 1).then_some(())
     });
 }
 
-/// The caller asks for a receipt; the service issues it and is slow to reply; the owner is
-/// killed. The log is slow too, so the next owner is asked for the call before its record of the
-/// unknown outcome is in the log. Sent again there, the employer would have declared twice.
+/// The owner is killed after the service issued the receipt but before it replied, and the log is
+/// slow. The next owner must not send the receipt again.
 #[test]
-fn a_receipt_is_not_sent_again_by_the_next_owner() {
+fn a_takeover_does_not_send_a_receipt_twice() {
     let environment = Environment::start(0, 3);
-    let late = || {
+    let delay_replies = || {
         environment.faults(
             environment.service.address,
             &json!({ "reply_after_ms": 60000 }),
         );
     };
-    let told = receipt(&environment, "levy-1", late, |program, owner| {
+    let outcome = issue_receipt(&environment, "levy-1", delay_replies, |program, owner| {
         wait_effect(&environment, program);
         environment.faults(environment.log.address, &json!({ "slow_ms": 700 }));
         environment.vms[owner].process.signal("KILL");
     });
-    assert!(told.is_unknown(), "{}", told.body);
-    assert_eq!(environment.effects(&told.program, 1), 1);
-    told.check(&environment, "effect");
+    assert!(outcome.is_unknown(), "{}", outcome.body);
+    assert_eq!(environment.effects(&outcome.program, 1), 1);
+    outcome.check(&environment, "effect");
 }
 
-/// The owner is killed at each step of a receipt in turn: with the intent on its way to the log,
-/// in the log but not read back, sent, in effect, and with the outcome in the log but not read
-/// back. The entry that the caller asked brings the call to the next owner, which tells the
-/// recorded answer where there is one and "unknown" where there is only the intent.
+/// The owner is killed at each step of a receipt in turn. The next owner must answer with the
+/// recorded outcome, or with "unknown" if only the intent was recorded.
 #[test]
 fn a_receipt_whose_owner_is_killed_at_any_step_is_issued_at_most_once() {
     let mut environment = Environment::start(0, 3);
@@ -109,28 +106,28 @@
         "outcome taken",
     ];
     for (index, step) in steps.into_iter().enumerate() {
-        let told = receipt(
+        let outcome = issue_receipt(
             &environment,
             &format!("levy-{index}"),
-            || hold_at(&environment, step),
-            |program, owner| kill_at(&environment, step, program, owner),
+            || inject_fault(&environment, step),
+            |program, owner| kill_owner_at(&environment, step, program, owner),
         );
         environment.heal();
         match step {
-            "intent taken" | "effect" => assert!(told.is_unknown(), "{step}: {}", told.body),
-            "outcome taken" => assert_eq!(told.status, 200, "{}", told.body),
+            "intent taken" | "effect" => assert!(outcome.is_unknown(), "{step}: {}", outcome.body),
+            "outcome taken" => assert_eq!(outcome.status, 200, "{}", outcome.body),
             _ => {}
         }
-        told.check(&environment, step);
-        environment.vms[told.owner].process.kill();
-        environment.restart_vm(told.owner);
-        environment.wait_ready(told.owner);
+        outcome.check(&environment, step);
+        environment.vms[outcome.owner].process.kill();
+        environment.restart_vm(outcome.owner);
+        environment.wait_ready(outcome.owner);
         environment.wait_owned();
     }
 }
 
-/// Sets the fault that holds the call before or at the step.
-fn hold_at(environment: &Environment, step: &str) {
+/// Injects the fault that holds the call before or at the step.
+fn inject_fault(environment: &Environment, step: &str) {
     let (log, service) = (environment.log.address, environment.service.address);
     match step {
         "intent sent" => environment.faults(log, &json!({ "frozen": true })),
@@ -140,7 +137,8 @@
     }
 }
 
-fn kill_at(environment: &Environment, step: &str, program: &str, owner: usize) {
+/// Waits until the call is at the step and kills the owner.
+fn kill_owner_at(environment: &Environment, step: &str, program: &str, owner: usize) {
     match step {
         "intent sent" => environment.wait_stage(owner, program, "journal_intent"),
         "intent taken" => environment.wait_record(program, "intent"),
@@ -154,73 +152,69 @@
     }
     environment.vms[owner].process.signal("KILL");
     environment.heal();
-    // The next owner is asked before its own records are in the log.
+    // So that the next owner gets the call before its own records are in the log.
     environment.faults(environment.log.address, &json!({ "slow_ms": 400 }));
 }
 
-/// The owner is stopped with its intent in the log and is woken after another VM has taken the
-/// shard over and has told the caller "unknown". What it finds first in its socket is the old
-/// reply that shows its intent as valid; sent then, the receipt would come long after the caller
-/// was told.
+/// The owner is stopped with its intent in the log and resumed after a takeover. It must not send the
+/// receipt although the first reply that it reads shows the intent as valid.
 #[test]
-fn an_owner_that_wakes_after_a_takeover_sends_nothing() {
+fn an_owner_resumed_after_a_takeover_sends_nothing() {
     let environment = Environment::start(0, 3);
-    let hold = || environment.faults(environment.log.address, &json!({ "hold_reads": true }));
-    let told = receipt(&environment, "levy-2", hold, |program, owner| {
+    let hold_reads = || environment.faults(environment.log.address, &json!({ "hold_reads": true }));
+    let outcome = issue_receipt(&environment, "levy-2", hold_reads, |program, owner| {
         environment.wait_record(program, "intent");
         environment.vms[owner].process.signal("STOP");
         environment.heal();
     });
-    assert!(told.is_unknown(), "{}", told.body);
-    // Past the window in which a sending could follow; nothing is asserted of its length.
+    assert!(outcome.is_unknown(), "{}", outcome.body);
+    // Longer than the time in which the call could still be sent.
     std::thread::sleep(Duration::from_secs(3));
-    environment.vms[told.owner].process.signal("CONT");
-    poll("the woken VM has given the call up", || {
-        let address = environment.vms[told.owner].operators;
+    environment.vms[outcome.owner].process.signal("CONT");
+    poll("the resumed VM has dropped the call", || {
+        let address = environment.vms[outcome.owner].operators;
         let (_, state) = environment.get(address, "/state");
         let runs = state["owner"]["runs"].as_object()?;
-        (!runs.contains_key(&told.program)).then_some(())
+        (!runs.contains_key(&outcome.program)).then_some(())
     });
-    assert_eq!(environment.effects(&told.program, 1), 0);
-    told.check(&environment, "woken");
+    assert_eq!(environment.effects(&outcome.program, 1), 0);
+    outcome.check(&environment, "woken");
 }
 
-/// The service issues the receipt and the connection is reset after the first byte of its reply;
-/// at the same time the log loses the replies of appends that it has taken, so that intent and
-/// outcome are appended twice. The caller is told "unknown", once and for all.
+/// The connection is reset within the reply of the service, and the log loses replies, so that intent
+/// and outcome are appended twice. The caller must be answered "unknown", also when it repeats.
 #[test]
-fn a_receipt_whose_reply_is_cut_is_told_as_unknown() {
+fn a_receipt_with_a_truncated_reply_is_unknown() {
     let environment = Environment::start(0, 3);
-    let cut = || {
+    let cut_replies = || {
         environment.faults(environment.service.address, &json!({ "cut_replies": 1 }));
         environment.faults(environment.log.address, &json!({ "lose_replies": 3 }));
     };
-    let told = receipt(&environment, "levy-3", cut, |_, _| {});
-    assert!(told.is_unknown(), "{}", told.body);
-    assert_eq!(environment.effects(&told.program, 1), 1);
-    told.check(&environment, "cut");
+    let outcome = issue_receipt(&environment, "levy-3", cut_replies, |_, _| {});
+    assert!(outcome.is_unknown(), "{}", outcome.body);
+    assert_eq!(environment.effects(&outcome.program, 1), 1);
+    outcome.check(&environment, "cut");
 }
 
-/// The log takes no append until the caller's deadline. The call is refused as not run, and the
-/// intent that reaches the log later does not count: it was dropped. Asked for again with the log
-/// up, the receipt is issued once.
+/// The log accepts no append until the deadline. The call must be refused as not run, and its intent
+/// must not count when it reaches the log later.
 #[test]
 fn a_receipt_is_refused_as_not_run_while_the_log_is_down() {
     let environment = Environment::start(0, 3);
     let program = environment.open(0, "quick", "levy-4", 5000);
     environment.faults(environment.log.address, &json!({ "down": true }));
-    let mut call = file();
+    let mut call = receipt_call();
     call["timeout_ms"] = json!(1500);
-    let (_, told) = environment.call(1, &program, &call);
+    let (_, outcome) = environment.call(1, &program, &call);
     assert_eq!(
-        (&told["code"], &told["ran"]),
+        (&outcome["code"], &outcome["ran"]),
         (&json!("VT3002"), &json!(false))
     );
-    assert!(told["retry_after_ms"].as_u64() > Some(0), "{told}");
+    assert!(outcome["retry_after_ms"].as_u64() > Some(0), "{outcome}");
     assert_eq!(environment.effects(&program, 1), 0);
     environment.heal();
-    poll("the log takes the call", || {
-        (environment.call(2, &program, &file()).0 == 200).then_some(())
+    poll("the call is recorded", || {
+        (environment.call(2, &program, &receipt_call()).0 == 200).then_some(())
     });
     assert_eq!(environment.effects(&program, 1), 1);
 }
--- a/tests/promise_order.rs
+++ b/tests/promise_order.rs
@@ -5,22 +5,22 @@
 use serde_json::json;
 use support::{Environment, model, poll, service};
 
-/// A caller that retries at two VMs feeds both of them call n and call n + 1 at once. Whichever
-/// comes in first, the receipts are issued in the order of their numbers, each of them once.
+/// A caller sends calls n and n + 1 to two VMs at the same time. The receipts must be issued once each
+/// and in the order of their numbers.
 #[test]
-fn calls_fed_to_two_vms_at_once_run_in_order() {
+fn calls_sent_to_two_vms_at_once_run_in_order() {
     let environment = Environment::start(0, 3);
     let program = environment.open(0, "quick", "levy-1", 5000);
     std::thread::scope(|scope| {
         for (vm, call) in (1..=8).rev().flat_map(|call| [(1, call), (2, call)]) {
             let (environment, program) = (&environment, &program);
             scope.spawn(move || {
-                let (status, told) =
+                let (status, response) =
                     environment.call(vm, program, &service(call, "receipt", &json!({})));
-                assert_eq!(status, 200, "{told}");
-                assert_eq!(told["body"]["key"], format!("{program}/{call}"));
+                assert_eq!(status, 200, "{response}");
+                assert_eq!(response["body"]["key"], format!("{program}/{call}"));
             });
-            // The later call of each pair comes in first.
+            // Lets the call with the higher number arrive first.
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
     });
@@ -29,11 +29,10 @@
     assert_eq!(counters["order"], json!(expected));
 }
 
-/// The owner is stopped while it streams an answer. The next owner runs the call anew and tells
-/// its answer, then the next call. The former owner wakes and finishes its stream: its record
-/// comes too late to count, and its own caller gets the answer that the history has.
+/// The owner is stopped in mid-stream and resumed after a takeover. Its late record must not change the
+/// history, and its own caller must get the answer of the new owner.
 #[test]
-fn a_former_owner_that_wakes_changes_no_history() {
+fn a_resumed_former_owner_does_not_change_the_history() {
     let environment = Environment::start(1, 3);
     let slow = json!({ "slower": 20, "vary": true });
     environment.faults(environment.engines[0].address, &slow);
@@ -49,19 +48,19 @@
     let (status, second) = environment.call(other, &program, &model(2, "Once more", 10));
     assert_eq!(status, 200, "{second}");
     environment.vms[owner].process.signal("CONT");
-    let last = stream.last().expect("a final event");
-    assert_eq!(last.1, first);
+    let last_event = stream.last().expect("a final event");
+    assert_eq!(last_event.1, first);
     for vm in [owner, entry, other] {
-        poll("every VM tells the same", || {
+        poll("every VM gives the same answer", || {
             (environment.call(vm, &program, &call).1 == first).then_some(())
         });
     }
-    let (_, look) = environment.get(
+    let (_, view) = environment.get(
         environment.vms[owner].callers,
         &format!("/v1/programs/{program}"),
     );
     assert_eq!(
-        (&look["history_messages"], &look["next_call"]),
+        (&view["history_messages"], &view["next_call"]),
         (&json!(4), &json!(3))
     );
 }
--- a/tests/promise_refused.rs
+++ b/tests/promise_refused.rs
@@ -6,82 +6,79 @@
 use support::{Environment, model, poll, service};
 
 fn wait_effect(environment: &Environment, program: &str, call: u64) {
-    poll("the effect", || {
+    poll("the effect has happened", || {
         (environment.effects(program, call) == 1).then_some(())
     });
 }
 
-/// Callers make calls that can't be taken: out of turn, with another body, beyond the budget, of
-/// an operation that is not there, after the end. Each refusal says that the call did not run, and
-/// the service has seen none of them.
+/// Invalid calls: out of order, with a changed body, beyond the budget, of an unknown operation, after
+/// the end. Each refusal must say that the call did not run, and the service must not have seen it.
 #[test]
-fn every_refusal_of_a_call_leaves_no_effect() {
+fn refused_calls_have_no_effect() {
     let environment = Environment::start(1, 3);
     let program = environment.open(0, "quick", "levy-1", 300);
     let receipt = |call| service(call, "receipt", &json!({}));
-    let mut early = receipt(2);
-    early["timeout_ms"] = json!(800);
+    let mut out_of_order = receipt(2);
+    out_of_order["timeout_ms"] = json!(800);
     let refusals = [
-        (early, 2, "VT3007"),
+        (out_of_order, 2, "VT3007"),
         (receipt(0), 0, "VT1001"),
         (service(1, "absent", &json!({})), 1, "VT1005"),
         (model(1, "too long an answer", 400), 1, "VT2001"),
         (json!({ "call": 1 }), 1, "VT1001"),
     ];
     for (body, call, code) in refusals {
-        let (_, told) = environment.call(1, &program, &body);
+        let (_, response) = environment.call(1, &program, &body);
         assert_eq!(
-            (&told["code"], &told["ran"]),
+            (&response["code"], &response["ran"]),
             (&json!(code), &json!(false)),
-            "{told}"
+            "{response}"
         );
-        assert_eq!(environment.effects(&program, call), 0, "{told}");
+        assert_eq!(environment.effects(&program, call), 0, "{response}");
     }
     assert_eq!(environment.call(0, &program, &receipt(1)).0, 200);
-    let other = service(1, "receipt", &json!({ "another": "body" }));
-    let (_, told) = environment.call(2, &program, &other);
+    let changed = service(1, "receipt", &json!({ "another": "body" }));
+    let (_, response) = environment.call(2, &program, &changed);
     assert_eq!(
-        (&told["code"], &told["ran"]),
+        (&response["code"], &response["ran"]),
         (&json!("VT1007"), &json!(false))
     );
     assert_eq!(
         environment.effects(&program, 1),
         1,
-        "the first body ran, once"
+        "only the first body ran, once"
     );
     environment.end(0, &program);
-    let (_, told) = environment.call(1, &program, &receipt(2));
+    let (_, response) = environment.call(1, &program, &receipt(2));
     assert_eq!(
-        (&told["code"], &told["ran"]),
+        (&response["code"], &response["ran"]),
         (&json!("VT1009"), &json!(false))
     );
     assert_eq!(environment.effects(&program, 2), 0);
 }
 
-/// The operators have named a server that nobody listens on. A receipt can't be sent there: it is
-/// refused as not run, its intent is dropped, and the next call is refused in the same way
-/// instead of being told as "unknown".
+/// Nothing listens at the registered server. The receipt must be refused as not run and its intent
+/// dropped, so that the next call is not answered "unknown".
 #[test]
-fn a_receipt_that_finds_no_server_is_refused_as_not_run() {
+fn a_receipt_without_a_reachable_server_is_refused_as_not_run() {
     let mut environment = Environment::start(0, 3);
     let program = environment.open(0, "quick", "levy-2", 300);
     environment.service.kill();
     for vm in [0, 1] {
-        let (_, told) = environment.call(vm, &program, &service(1, "receipt", &json!({})));
-        assert_eq!(told["ran"], json!(false), "{told}");
+        let (_, response) = environment.call(vm, &program, &service(1, "receipt", &json!({})));
+        assert_eq!(response["ran"], json!(false), "{response}");
         poll("the intent is dropped", || {
             let address = environment.vms[vm].callers;
-            let (_, look) = environment.get(address, &format!("/v1/programs/{program}"));
-            look["intent"].is_null().then_some(())
+            let (_, view) = environment.get(address, &format!("/v1/programs/{program}"));
+            view["intent"].is_null().then_some(())
         });
     }
 }
 
-/// A booking takes effect and its owner is killed before the reply; the service goes down as
-/// well. The next owner can't send the booking and says that it did not run there; the entry
-/// knows that the owner before may have sent it, and tells the caller "unknown".
+/// The owner is killed after a booking took effect, and the service goes down. The next owner cannot
+/// have run it, but the caller must be answered "unknown" since the former owner may have.
 #[test]
-fn a_call_that_a_lost_owner_may_have_sent_is_not_told_as_not_run() {
+fn a_call_that_a_killed_owner_may_have_sent_is_unknown() {
     let mut environment = Environment::start(0, 3);
     environment.faults(
         environment.service.address,
@@ -104,15 +101,14 @@
     wait_effect(&environment, &program, 1);
     environment.service.kill();
     environment.vms[owner].process.kill();
-    let told = call.join().expect("the caller is answered");
-    assert_eq!(told["ran"], "unknown", "{told}");
+    let response = call.join().expect("the caller is answered");
+    assert_eq!(response["ran"], "unknown", "{response}");
 }
 
-/// A parent is ended while a receipt of its child is under way. The end waits for the receipt;
-/// the child's caller gets it, and gets it again afterwards. Ended at once, the child would have
-/// lost the answer, and asking again would be refused as not run.
+/// A parent is ended while a receipt of its child is in flight. The end must wait for it; otherwise the
+/// answer is lost and a repeated call is refused as not run.
 #[test]
-fn an_end_waits_for_the_receipt_of_a_child() {
+fn ending_a_program_waits_for_the_receipt_of_a_child() {
     let environment = Environment::start(0, 3);
     environment.faults(
         environment.service.address,
@@ -123,14 +119,14 @@
     let (_, child) = environment.call(0, &program, &spawn);
     let child = child["program"].as_str().expect("an id");
     let receipt = service(1, "receipt", &json!({}));
-    let told = std::thread::scope(|scope| {
+    let response = std::thread::scope(|scope| {
         let call = scope.spawn(|| environment.call(1, child, &receipt));
         wait_effect(&environment, child, 1);
         let (status, account) = environment.end(2, &program);
         assert_eq!(status, 200, "{account}");
         call.join().expect("the caller is answered")
     });
-    assert_eq!(told.0, 200, "{}", told.1);
-    assert_eq!(environment.call(2, child, &receipt), told);
+    assert_eq!(response.0, 200, "{}", response.1);
+    assert_eq!(environment.call(2, child, &receipt), response);
     assert_eq!(environment.effects(child, 1), 1);
 }
--- a/tests/promise_retention.rs
+++ b/tests/promise_retention.rs
@@ -1,4 +1,4 @@
-//! What the log no longer keeps is neither needed nor passed over in silence.
+//! Programs survive the trimming of the log, and a gap in the log is reported.
 
 mod support;
 
@@ -14,6 +14,7 @@
     )
 }
 
+/// Trims the records of the stream before this position.
 fn trim(environment: &Environment, stream: &str, before: u64) {
     let trim = json!({ "stream": stream, "before": before });
     let url = format!("http://{}/trim", environment.log.address);
@@ -24,16 +25,14 @@
     assert!(reply.expect("the log answers").status().is_success());
 }
 
-/// The log trims the records of a program's first calls. A VM that starts afterwards reads the
-/// claim and the checkpoints that its owner has written since, and takes the program over when
-/// the owner is killed: with its history, its kept answers and its budget, and a receipt that is
-/// asked for again is not issued again.
+/// The log trims the records of the first calls of a program. A new VM must take the program over from
+/// the checkpoints, with history, answers and budget, and must not issue a receipt again.
 #[test]
-fn a_program_outlives_the_records_of_its_calls() {
+fn a_program_survives_the_trimming_of_its_first_records() {
     let mut environment = Environment::platform(1);
     environment.configure();
-    let often = json!({ "checkpoint_entries": 64 });
-    environment.add_vm(&often);
+    let settings = json!({ "checkpoint_entries": 64 });
+    environment.add_vm(&settings);
     environment.wait_ready(0);
     environment.wait_owned();
     let program = environment.open(0, "quick", "fleet-1", 50_000);
@@ -41,10 +40,10 @@
     let receipt = environment.call(0, &program, &service(2, "receipt", &json!({})));
     assert_eq!((first.0, receipt.0), (200, 200));
     let mut calls = 2;
-    poll("each shard of the stream is written anew", || {
+    poll("each shard of the stream has a checkpoint", || {
         calls += 1;
-        let told = environment.call(0, &program, &service(calls, "rates", &json!({})));
-        assert_eq!(told.0, 200, "{}", told.1);
+        let response = environment.call(0, &program, &service(calls, "rates", &json!({})));
+        assert_eq!(response.0, 200, "{}", response.1);
         (environment.entries(&["checkpointed"]) >= 8).then_some(())
     });
     let (_, before) = environment.get(
@@ -53,7 +52,7 @@
     );
 
     trim(&environment, &stream_of(&program), 60);
-    environment.add_vm(&often);
+    environment.add_vm(&settings);
     environment.wait_ready(1);
     environment.vms[0].process.kill();
     assert_eq!(
@@ -69,18 +68,17 @@
         environment.vms[1].callers,
         &format!("/v1/programs/{program}"),
     );
-    for fact in ["history_bytes", "next_call", "used", "resident", "budget"] {
-        assert_eq!(after[fact], before[fact], "{fact}");
+    for field in ["history_bytes", "next_call", "used", "resident", "budget"] {
+        assert_eq!(after[field], before[field], "{field}");
     }
-    let (status, told) = environment.call(1, &program, &model(calls + 1, "Go on", 6));
-    assert_eq!(status, 200, "{told}");
+    let (status, response) = environment.call(1, &program, &model(calls + 1, "Go on", 6));
+    assert_eq!(status, 200, "{response}");
 }
 
-/// The log has trimmed all that it had of a program, and no VM is left that has read it. The
-/// program is told as a gap; taken for unknown, it could be opened a second time with its key,
-/// and its receipt issued again.
+/// The log has trimmed all records of a program and no VM has read them. The gap must be reported;
+/// otherwise the program could be opened again with its key and its receipt issued twice.
 #[test]
-fn a_gap_that_nobody_can_bridge_is_told() {
+fn a_gap_in_the_log_is_reported() {
     let mut environment = Environment::start(0, 2);
     let program = environment.open(0, "quick", "levy-1", 300);
     let receipt = service(1, "receipt", &json!({}));
@@ -93,11 +91,11 @@
         environment.restart_vm(vm);
         environment.wait_ready(vm);
     }
-    let (_, told) = environment.call(0, &program, &receipt);
-    assert_eq!(told["code"], "VT3010", "{told}");
+    let (_, response) = environment.call(0, &program, &receipt);
+    assert_eq!(response["code"], "VT3010", "{response}");
     let budget = json!({ "tokens": 300 });
     let open = json!({ "class": "quick", "key": "levy-1", "budget": budget });
-    let (_, told) = environment.post(environment.vms[1].callers, "/v1/programs", &open);
-    assert_eq!(told["code"], "VT3010", "{told}");
+    let (_, response) = environment.post(environment.vms[1].callers, "/v1/programs", &open);
+    assert_eq!(response["code"], "VT3010", "{response}");
     assert_eq!(environment.effects(&program, 1), 1);
 }
--- a/tests/refusals.rs
+++ b/tests/refusals.rs
@@ -1,4 +1,5 @@
-//! Bad input, from callers and from strangers: refused with a code, and nothing else suffers.
+//! Bad input from callers and from senders without the peer key is refused with a code and affects
+//! nothing else.
 
 mod support;
 
@@ -11,14 +12,18 @@
 fn post_raw(environment: &Environment, path: &str, body: String) -> (u16, Value) {
     let url = format!("http://{}{path}", environment.vms[0].callers);
     let client = reqwest::blocking::Client::new();
-    let reply = client.post(url).body(body).send().expect("it answers");
+    let reply = client.post(url).body(body).send().expect("the VM answers");
     let status = reply.status().as_u16();
     (status, reply.json().expect("a refusal is JSON"))
 }
 
 fn assert_refused(reply: &(u16, Value), status: u16, code: &str, path: &str) {
-    let (got, body) = reply;
-    assert_eq!((*got, &body["code"]), (status, &json!(code)), "{body}");
+    let (actual_status, body) = reply;
+    assert_eq!(
+        (*actual_status, &body["code"]),
+        (status, &json!(code)),
+        "{body}"
+    );
     assert_eq!(body["ran"], json!(false), "{body}");
     let message = body["message"].as_str().unwrap_or_default();
     assert!(message.contains(path), "{path} not in {body}");
@@ -45,12 +50,13 @@
     assert_refused(&open(body), 400, "VT1001", "class");
     let body = json!({ "class": "unknown", "key": "k", "budget": { "tokens": 1 } });
     assert_refused(&open(body), 422, "VT1003", "unknown");
-    let big = json!({ "class": "quick", "key": "k".repeat(2 << 20), "budget": { "tokens": 1 } });
-    assert_refused(&open(big), 413, "VT1002", "1048576");
+    let too_large =
+        json!({ "class": "quick", "key": "k".repeat(2 << 20), "budget": { "tokens": 1 } });
+    assert_refused(&open(too_large), 413, "VT1002", "1048576");
 }
 
 #[test]
-fn bad_calls_are_refused_and_leave_the_program_as_it_was() {
+fn bad_calls_are_refused_and_do_not_change_the_program() {
     let environment = Environment::start(1, 1);
     let program = environment.open(0, "quick", "refused", 1000);
     let call = |body: Value| environment.call(0, &program, &body);
@@ -58,7 +64,7 @@
     assert_refused(&call(model(0, "zero", 5)), 400, "VT1001", "count from 1");
     let body = json!({ "call": 1.5, "service": { "service": "filing", "operation": "rates" } });
     assert_refused(&call(body), 400, "VT1001", "call");
-    // A sum with this number would wrap to a small one, and the budget would be passed.
+    // Adding to this number could overflow and bypass the budget.
     assert_refused(
         &call(model(1, "wrap", u64::MAX)),
         400,
@@ -74,9 +80,9 @@
     let mut body = model(1, "who", 5);
     body["model"]["model"] = json!("huge");
     assert_refused(&call(body), 422, "VT1010", "huge");
-    let other = format!("p1-{:032x}", 7);
+    let unknown_program = format!("p1-{:032x}", 7);
     assert_refused(
-        &environment.call(0, &other, &model(1, "x", 5)),
+        &environment.call(0, &unknown_program, &model(1, "x", 5)),
         404,
         "VT1004",
         "p1-",
@@ -91,12 +97,12 @@
     assert_eq!(status, 200, "{answer}");
 }
 
-/// A caller sends its headers and half of its body, then nothing. Its request is refused after a
-/// bounded time, and meanwhile the VM answers others.
+/// A caller sends half of its request and then nothing. It must be refused after a timeout, and other
+/// callers must be served meanwhile.
 #[test]
-fn a_slow_caller_is_refused_and_holds_nobody_up() {
+fn a_slow_caller_is_refused_and_does_not_block_others() {
     let environment = Environment::start(1, 1);
-    let mut slow = TcpStream::connect(environment.vms[0].callers).expect("it listens");
+    let mut slow = TcpStream::connect(environment.vms[0].callers).expect("the VM listens");
     let head = "POST /v1/programs HTTP/1.1\r\nhost: vm\r\ncontent-length: 100\r\n\r\n{\"class\":";
     slow.write_all(head.as_bytes()).expect("sent");
     for index in 0..5 {
@@ -133,11 +139,10 @@
     environment.open(0, "quick", "three", 100);
 }
 
-/// Datagrams and requests of those who do not have the peer key, among them a heartbeat sealed
-/// with another key that claims every shard. The VM refuses each, says so in its log, and its view
-/// stays as it was.
+/// Noise and the heartbeats of a VM with another peer key are sent to the peer port. The VM must refuse
+/// and log them, and its view must not change.
 #[test]
-fn strangers_are_refused_by_the_peer_port() {
+fn datagrams_without_the_peer_key_do_not_change_the_view() {
     let mut environment = Environment::start(1, 1);
     let peers = environment.vms[0].peers;
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
@@ -155,19 +160,20 @@
         (environment.vms[0].process.logged(refused) >= 7).then_some(())
     });
 
-    // A whole VM with another key: its heartbeats and its requests are a stranger's.
+    // A VM with another peer key.
     environment.add_vm(&json!({ "peer_key": "the key of somebody else", "vm": "stranger" }));
     let before = environment.vms[0].process.logged(refused);
-    poll("the stranger's heartbeats are refused", || {
-        (environment.vms[0].process.logged(refused) > before + 3).then_some(())
-    });
+    poll(
+        "the heartbeats of the VM with another key are refused",
+        || (environment.vms[0].process.logged(refused) > before + 3).then_some(()),
+    );
     let (_, state) = environment.get(environment.vms[0].operators, "/state");
     let members = state["view"]["members"].as_object().expect("a view");
     assert_eq!(members.keys().collect::<Vec<_>>(), ["vm-0"], "{state}");
 }
 
 #[test]
-fn operators_and_callers_have_addresses_of_their_own() {
+fn operators_and_callers_use_separate_addresses() {
     let environment = Environment::start(1, 1);
     let vm = &environment.vms[0];
     for path in ["/state", "/metrics", "/readyz", "/healthz"] {
@@ -181,6 +187,6 @@
         .post(url)
         .body(body.to_string())
         .send()
-        .expect("it answers");
+        .expect("the VM answers");
     assert_eq!(reply.status().as_u16(), 404);
 }
--- a/tests/schedules.rs
+++ b/tests/schedules.rs
@@ -1,8 +1,8 @@
-//! Random schedules over the pure decisions: ledger, table and effect, with a log in memory.
+//! Random schedules over ledger, table and effect, with a log in memory.
 //!
-//! Three VMs own one shard in turn and run the calls of two programs, while VMs are killed,
-//! paused and woken, replies are lost, copies of records arrive late, the log is down and anybody
-//! claims at any time. The promises are checked after each step.
+//! Three VMs own one shard in turn and run the calls of two programs, while VMs are killed, paused and
+//! resumed, replies are lost, records are delayed and repeated, and the log is down at times. The
+//! invariants are checked after each step.
 
 mod world;
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn promises_hold_under_random_schedules() {
+fn invariants_hold_under_random_schedules() {
     let config = Config {
         cases: SCHEDULES,
         rng_seed: RngSeed::Fixed(20_260_712),
@@ -58,7 +58,7 @@
             world.take(step);
             world
                 .check()
-                .map_err(|broken| TestCaseError::fail(format!("{step:?}: {broken}")))?;
+                .map_err(|violation| TestCaseError::fail(format!("{step:?}: {violation}")))?;
         }
         total.borrow_mut().add(&world.seen);
         Ok(())
@@ -68,7 +68,7 @@
     if let Err(TestError::Fail(reason, steps)) = outcome {
         panic!("{reason}\n{steps:#?}");
     }
-    // A schedule in which nothing happens would prove nothing.
+    // Guards against schedules that exercise nothing.
     let Seen {
         effects,
         unknown,
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop interrupts nothing.
+//! A planned stop of a VM interrupts no request.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use support::{Environment, model, poll, service};
 
-/// One caller behind a balancer: it sends each request to a VM that says it is ready.
+/// A caller behind a load balancer: it sends each request to a VM that reports ready.
 struct Caller {
     http: reqwest::blocking::Client,
     vms: Vec<(SocketAddr, SocketAddr)>,
@@ -40,7 +40,7 @@
             other => {
                 self.failed
                     .lock()
-                    .expect("no holder panics")
+                    .expect("the mutex is not poisoned")
                     .push(format!("{path}: {other:?}"));
                 json!({})
             }
@@ -61,10 +61,8 @@
     }
 }
 
-/// Callers run programs without a pause while each VM in turn gets SIGTERM and is started again.
-/// The VM says that it is not ready, goes on accepting until the balancer has seen it, finishes
-/// what is in flight, hands its shards to successors and ends. No caller sees an error, a cut
-/// answer or a doubled receipt, whichever VM it or its owner was on.
+/// Callers run programs while each VM in turn gets SIGTERM and is started again. A VM that drains must
+/// finish its requests and hand its shards over: no error, truncated answer or repeated receipt.
 #[test]
 fn a_rolling_restart_cuts_no_request() {
     let mut environment = Environment::start(2, 3);
@@ -111,7 +109,7 @@
     for caller in callers {
         caller.join().expect("no caller panics");
     }
-    let failed = failed.lock().expect("no holder panics");
+    let failed = failed.lock().expect("the mutex is not poisoned");
     let programs = programs.load(Ordering::Relaxed);
     assert!(
         failed.is_empty(),
@@ -119,7 +117,7 @@
         failed.len(),
         failed
     );
-    assert!(programs >= 12, "{programs} programs are no load");
+    assert!(programs >= 12, "only {programs} programs were run");
     let counters = environment.counters(environment.service.address);
     let effects = counters["effects"].as_object().expect("a map");
     assert!(effects.values().all(|count| count == 1), "{effects:?}");
--- a/tests/stranger.rs
+++ b/tests/stranger.rs
@@ -1,4 +1,4 @@
-//! Datagrams of strangers.
+//! Datagrams from senders without the peer key.
 
 mod support;
 
@@ -10,8 +10,8 @@
 use vanillatrail::id::{Boot, Incarnation, Millicores, Offset};
 use vanillatrail::member::{Header, Kind, Message, Profile, Sealer, State, Update};
 
-/// A message in which `vm` asks to join, sealed with `key`.
-fn join(vm: &str, key: &str, address: SocketAddr) -> Vec<u8> {
+/// A ping that announces the member `vm`, sealed with `key`.
+fn join_message(vm: &str, key: &str, address: SocketAddr) -> Vec<u8> {
     let profile = Profile {
         vm: vm.parse().expect("a plain name"),
         zone: "zone-0".parse().expect("a plain name"),
@@ -21,7 +21,7 @@
         ready: false,
         version: Incarnation(1),
     };
-    let news = Update::Profile {
+    let update = Update::Profile {
         profile: profile.clone(),
         incarnation: Incarnation(1),
         state: State::Alive,
@@ -40,7 +40,7 @@
     Sealer::new(key).seal(&Message {
         from,
         kind,
-        updates: vec![news],
+        updates: vec![update],
     })
 }
 
@@ -52,45 +52,44 @@
     })
 }
 
-/// Somebody who can reach the port of the peers sends random bytes, a message under another key,
-/// and a message of a member with one bit turned. The VM answers none of them, takes nothing from
-/// them and goes on: a stranger can neither join, nor have a member dropped, nor stop the duty.
-/// The same message under the key of the settings joins, which shows that the others were read.
+/// Random bytes, a message sealed with another key, and a message with one bit flipped are refused and
+/// change nothing in the view. A message with the right key joins, so the earlier ones were read.
 #[test]
-fn a_datagram_of_random_bytes_or_of_a_stranger_is_refused() {
+fn datagrams_without_the_peer_key_are_refused() {
     let environment = Environment::start(1, 2);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    let own = socket.local_addr().expect("it is bound");
-    let to = environment.vms[0].peers;
+    let local = socket.local_addr().expect("the socket is bound");
+    let peer_address = environment.vms[0].peers;
     let key = "a key for tests only";
-    let mut turned = join("vm-turned", key, own);
-    *turned.last_mut().expect("it is not empty") ^= 1;
+    let mut bit_flipped = join_message("vm-turned", key, local);
+    *bit_flipped.last_mut().expect("the datagram is not empty") ^= 1;
     let mut random = vec![0; 700];
     StdRng::seed_from_u64(7).fill_bytes(&mut random);
     for datagram in [
         Vec::new(),
         vec![0; 15],
         random,
-        turned,
+        bit_flipped,
         vec![7; 20_000],
-        join("vm-stranger", "another key of 16 characters", own),
+        join_message("vm-stranger", "another key of 16 characters", local),
     ] {
-        socket.send_to(&datagram, to).expect("loopback takes it");
+        socket
+            .send_to(&datagram, peer_address)
+            .expect("the datagram is sent");
     }
     socket
-        .send_to(&join("vm-friend", key, own), to)
-        .expect("loopback takes it");
-    let known = support::poll("the last datagram was read", || {
-        let known = members(&environment);
-        known.contains(&"vm-friend".to_owned()).then_some(known)
+        .send_to(&join_message("vm-friend", key, local), peer_address)
+        .expect("the datagram is sent");
+    let known_members = support::poll("the last datagram is applied", || {
+        let known_members = members(&environment);
+        known_members
+            .contains(&"vm-friend".to_owned())
+            .then_some(known_members)
     });
-    assert_eq!(known, ["vm-0", "vm-1", "vm-friend"]);
-    let refused = std::fs::read_to_string(&environment.vms[0].process.log).expect("our file");
-    assert_eq!(
-        refused.matches("event=datagram_refused").count(),
-        6,
-        "{refused}"
-    );
+    assert_eq!(known_members, ["vm-0", "vm-1", "vm-friend"]);
+    let log =
+        std::fs::read_to_string(&environment.vms[0].process.log).expect("the log file is readable");
+    assert_eq!(log.matches("event=datagram_refused").count(), 6, "{log}");
     let (status, state) = environment.get(environment.vms[0].operators, "/state");
     assert_ne!((status, state), (200, Value::Null));
 }
