--- a/tests/promise_history.rs
+++ b/tests/promise_history.rs
@@ -150,7 +150,7 @@
         // Long enough for the others to suspect the owner while the log accepts no claims.
         std::thread::sleep(std::time::Duration::from_secs(4));
     }
-    environment.heal();
+    environment.clear_faults();
 }
 
 /// The owner and then its successor are killed. The third VM must recover the whole history from the
--- a/tests/promise_limits.rs
+++ b/tests/promise_limits.rs
@@ -62,7 +62,7 @@
         "{response}"
     );
     wait_freed(&environment, &program, "VT2006");
-    environment.heal();
+    environment.clear_faults();
     let other = environment.open(0, "quick", "loop-2", 500);
     assert_eq!(
         environment
--- a/tests/promise_once.rs
+++ b/tests/promise_once.rs
@@ -112,7 +112,7 @@
             || inject_fault(&environment, step),
             |program, owner| kill_owner_at(&environment, step, program, owner),
         );
-        environment.heal();
+        environment.clear_faults();
         match step {
             "intent taken" | "effect" => assert!(outcome.is_unknown(), "{step}: {}", outcome.body),
             "outcome taken" => assert_eq!(outcome.status, 200, "{}", outcome.body),
@@ -151,7 +151,7 @@
         environment.wait_record(program, "done");
     }
     environment.vms[owner].process.signal("KILL");
-    environment.heal();
+    environment.clear_faults();
     // So that the next owner gets the call before its own records are in the log.
     environment.faults(environment.log.address, &json!({ "slow_ms": 400 }));
 }
@@ -165,7 +165,7 @@
     let outcome = issue_receipt(&environment, "levy-2", hold_reads, |program, owner| {
         environment.wait_record(program, "intent");
         environment.vms[owner].process.signal("STOP");
-        environment.heal();
+        environment.clear_faults();
     });
     assert!(outcome.is_unknown(), "{}", outcome.body);
     // Longer than the time in which the call could still be sent.
@@ -212,7 +212,7 @@
     );
     assert!(outcome["retry_after_ms"].as_u64() > Some(0), "{outcome}");
     assert_eq!(environment.effects(&program, 1), 0);
-    environment.heal();
+    environment.clear_faults();
     poll("the call is recorded", || {
         (environment.call(2, &program, &receipt_call()).0 == 200).then_some(())
     });
--- a/tests/schedules.rs
+++ b/tests/schedules.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, FileFailurePersistence, RngSeed, TestError, TestRunner};
 use std::cell::RefCell;
-use world::{Seen, Step, World};
+use world::{Counters, Step, World};
 
 const SCHEDULES: u32 = 600;
 
@@ -21,19 +21,19 @@
         6 => (vm.clone(), program.clone(), 1..60_u64)
             .prop_map(|(vm, program, tokens)| Step::Model { vm, program, tokens }),
         8 => (vm.clone(), any::<bool>(), any::<bool>())
-            .prop_map(|(vm, lost, copied)| Step::Append { vm, lost: lost && copied, copied }),
+            .prop_map(|(vm, lost, duplicated)| Step::Append { vm, lost: lost && duplicated, duplicated }),
         4 => vm.clone().prop_map(|vm| Step::Fetch { vm }),
-        4 => vm.clone().prop_map(|vm| Step::Take { vm }),
-        24 => vm.clone().prop_map(|vm| Step::Turn { vm }),
+        4 => vm.clone().prop_map(|vm| Step::ApplyPage { vm }),
+        24 => vm.clone().prop_map(|vm| Step::Sync { vm }),
         4 => vm.clone().prop_map(|vm| Step::Settle { vm }),
         2 => vm.clone().prop_map(|vm| Step::Claim { vm }),
         5 => (vm.clone(), program).prop_map(|(vm, program)| Step::Withdraw { vm, program }),
         1 => vm.clone().prop_map(|vm| Step::Kill { vm }),
         1 => vm.clone().prop_map(|vm| Step::Pause { vm }),
-        2 => vm.prop_map(|vm| Step::Wake { vm }),
-        1 => (0..8_usize).prop_map(|which| Step::Copy { which }),
-        12 => (0..3_usize).prop_map(|which| Step::Serve { which }),
-        12 => (0..3_usize, prop::bool::weighted(0.2)).prop_map(|(which, lost)| Step::Reply { which, lost }),
+        2 => vm.prop_map(|vm| Step::Resume { vm }),
+        1 => (0..8_usize).prop_map(|index| Step::Copy { index }),
+        12 => (0..3_usize).prop_map(|index| Step::Serve { index }),
+        12 => (0..3_usize, prop::bool::weighted(0.2)).prop_map(|(index, lost)| Step::Reply { index, lost }),
         1 => prop::bool::weighted(0.8).prop_map(|up| Step::Log { up }),
         1 => (1..2500_u64).prop_map(|ms| Step::Time { ms }),
     ];
@@ -50,17 +50,17 @@
         ))),
         ..Config::default()
     };
-    let total = RefCell::new(Seen::default());
+    let total = RefCell::new(Counters::default());
     let mut runner = TestRunner::new(config);
     let outcome = runner.run(&steps(), |steps| {
         let mut world = World::new();
         for step in &steps {
-            world.take(step);
+            world.apply(step);
             world
                 .check()
                 .map_err(|violation| TestCaseError::fail(format!("{step:?}: {violation}")))?;
         }
-        total.borrow_mut().add(&world.seen);
+        total.borrow_mut().add(&world.counters);
         Ok(())
     });
     let total = total.into_inner();
@@ -69,16 +69,16 @@
         panic!("{reason}\n{steps:#?}");
     }
     // Guards against schedules that exercise nothing.
-    let Seen {
+    let Counters {
         effects,
         unknown,
         dropped,
         answered,
         takeovers,
-        void,
+        fenced,
         ..
     } = total;
-    for seen in [effects, unknown, dropped, answered, takeovers, void] {
-        assert!(seen > 100, "{total:?}");
+    for count in [effects, unknown, dropped, answered, takeovers, fenced] {
+        assert!(count > 100, "{total:?}");
     }
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,8 +1,7 @@
-//! Random faults from outside, while callers check what was promised to them.
+//! Random faults while callers check what they receive.
 //!
-//! Three VMs run the binary before two engines and a plain server, all behind proxies. Faults come in
-//! series and overlap. A run is named by its seed: `SOAK_SEEDS=100..150 cargo test --test soak` plays
-//! others than the short run does, and a failure names the seed.
+//! Three VMs run in front of two engines and a plain server, all behind proxies. A failure names its
+//! seed; `SOAK_SEEDS=100..150 cargo test --test soak` runs other seeds than the default ones.
 
 #[path = "platform/mod.rs"]
 mod platform;
@@ -11,7 +10,7 @@
 
 use platform::team::{KEY, OTHERS, WINDOW, busiest, most, teams};
 use platform::{Act, Backend, Request, Store, Vm, call, events, head, until, whole};
-use proxy::{HARMS, Harm, Proxy};
+use proxy::{FAULTS, Fault, Proxy};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -22,113 +21,127 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Seeds of the short run; those that once failed stay here, with a line on the cause.
+/// Seeds of the default run, with those that found a fault and its cause.
 const SEEDS: [u64; 3] = [
     1, 2,
-    // A copy of an allowance replaced a newer record: 1,200 tokens against 870 + 290.
+    // A replica of an allowance replaced a newer record, so that the budget was exceeded.
     110,
 ];
-/// Faults of one run.
-const FAULTS: usize = 8;
-/// Callers that ask at the same time.
+const FAULTS_PER_RUN: usize = 8;
+/// Concurrent callers without a team limit.
 const CALLERS: u64 = 6;
-/// Events of one turn, and the tokens of one event in the configuration of the fakes.
-const EVENTS: u64 = 6;
-const TOKENS: u64 = 10;
-/// The budget of the program that loops, and the most of one turn.
-const BUDGET: u64 = 870;
-const MOST: u64 = 290;
+/// Events of one turn, and tokens that each event counts.
+const EVENTS_PER_TURN: u64 = 6;
+const TOKENS_PER_EVENT: u64 = 10;
+/// Token budget of the looping program, and the largest use of one turn.
+const BUDGET_TOKENS: u64 = 870;
+const MAX_TURN_TOKENS: u64 = 290;
 
-/// Callers of the team that has a limit, beside these.
-const PRESSING: u64 = 3;
-/// Requests a second of the team that has a limit, and as many at once; its callers send several times as many.
-const LIMIT: u64 = 10;
-/// How the identities of its requests begin.
-const LIMITED: &str = "limited";
-/// The key that no team holds.
-const UNKNOWN: &str = "a key that nobody holds";
+/// Concurrent callers of the limited team.
+const LIMITED_CALLERS: u64 = 3;
+/// Rate (per second) and concurrency limit of the limited team; its callers send several times as many.
+const TEAM_LIMIT: u64 = 10;
+/// Prefix of the request ids of the limited team.
+const LIMITED_ID_PREFIX: &str = "limited";
+/// An API key that belongs to no team.
+const UNKNOWN_KEY: &str = "a key that nobody holds";
 
-/// What callers have watch.
+/// What the callers and the plain server observed.
 #[derive(Debug, Default)]
-struct Watch {
-    /// Status by the identity of requests that must not be repeated.
-    once: Mutex<HashMap<String, u16>>,
-    /// When callers began requests of the team with a limit.
-    asked: Mutex<HashMap<String, Instant>>,
-    /// When these came to a server.
-    came: Mutex<Vec<(String, Instant)>>,
-    looped: AtomicU64,
-    wrong: Mutex<Vec<String>>,
+struct Observations {
+    /// Status by id of requests that must not be repeated.
+    once_statuses: Mutex<HashMap<String, u16>>,
+    /// When callers sent the requests of the limited team.
+    sent: Mutex<HashMap<String, Instant>>,
+    /// When these requests arrived at a server.
+    received: Mutex<Vec<(String, Instant)>>,
+    looping_tokens: AtomicU64,
+    violations: Mutex<Vec<String>>,
 }
 
-impl Watch {
-    fn wrong(&self, what: String) {
-        self.wrong.lock().expect("not poisoned").push(what);
+impl Observations {
+    fn add_violation(&self, violation: String) {
+        self.violations
+            .lock()
+            .expect("the mutex is not poisoned")
+            .push(violation);
     }
 }
 
-fn engine() -> Backend {
+fn start_engine() -> Backend {
     Backend::start(|request, _| {
         let from = request.header("last-event-id").parse().unwrap_or(0) + 1;
         std::thread::sleep(Duration::from_millis(15));
-        let text = head(request) + &events(from..=EVENTS) + "0\r\n\r\n";
+        let text = head(request) + &events(from..=EVENTS_PER_TURN) + "0\r\n\r\n";
         Act::Keep(text.into_bytes())
     })
 }
 
-/// One caller: turns of a program that loops, turns of programs of its own, and requests that must
-/// not be repeated.
-fn ask(to: &[SocketAddr], watch: &Watch, caller: u64, over: &AtomicBool, mut rng: StdRng) {
+/// A caller that sends turns of the looping program, turns of new programs, and requests that must not
+/// be repeated.
+fn run_caller(
+    addresses: &[SocketAddr],
+    observations: &Observations,
+    caller: u64,
+    stopped: &AtomicBool,
+    mut rng: StdRng,
+) {
     for number in 0.. {
-        if over.load(Ordering::Relaxed) {
+        if stopped.load(Ordering::Relaxed) {
             return;
         }
-        let vm = *to.choose(&mut rng).expect("there are some");
+        let vm = *addresses.choose(&mut rng).expect("the list is not empty");
         let id = format!("c{caller}n{number}");
         match rng.random_range(0..3) {
-            0 => once(vm, watch, &id, OTHERS),
-            1 => turn(vm, watch, &id, "loop"),
-            _ => turn(vm, watch, &id, &id),
+            0 => send_once(vm, observations, &id, OTHERS),
+            1 => send_turn(vm, observations, &id, "loop"),
+            _ => send_turn(vm, observations, &id, &id),
         }
     }
 }
 
-/// One caller of the team with a limit, which some requests without a team's key come between.
-fn press(to: &[SocketAddr], watch: &Watch, caller: u64, over: &AtomicBool, mut rng: StdRng) {
+/// A caller of the limited team, which also sends requests with an unknown API key.
+fn run_limited_caller(
+    addresses: &[SocketAddr],
+    observations: &Observations,
+    caller: u64,
+    stopped: &AtomicBool,
+    mut rng: StdRng,
+) {
     for number in 0.. {
-        if over.load(Ordering::Relaxed) {
+        if stopped.load(Ordering::Relaxed) {
             return;
         }
-        let vm = *to.choose(&mut rng).expect("there are some");
-        let id = format!("{LIMITED}{caller}n{number}");
+        let vm = *addresses.choose(&mut rng).expect("the list is not empty");
+        let id = format!("{LIMITED_ID_PREFIX}{caller}n{number}");
         match rng.random_range(0..4) {
-            0 => stranger(vm, watch, &id),
-            _ => limited(vm, watch, &id),
+            0 => send_unknown_key(vm, observations, &id),
+            _ => send_limited(vm, observations, &id),
         }
     }
 }
 
-/// A request whose key no team holds.
-fn stranger(vm: SocketAddr, watch: &Watch, id: &str) {
+/// Sends a request with an API key that belongs to no team.
+fn send_unknown_key(vm: SocketAddr, observations: &Observations, id: &str) {
     let headers = [
         ("X-Request-Id", id),
         ("X-Deadline-Ms", "1500"),
-        ("Api-Key", UNKNOWN),
+        ("Api-Key", UNKNOWN_KEY),
     ];
     let status = call(vm, "POST", "/u/x", &headers, b"body").status;
     if ![0, 401, 503].contains(&status) {
-        watch.wrong(format!("{id} has no key and got {status}"));
+        observations.add_violation(format!("{id} has an unknown key and got {status}"));
     }
 }
 
-fn limited(vm: SocketAddr, watch: &Watch, id: &str) {
-    let mut asked = watch.asked.lock().expect("not poisoned");
-    asked.insert(id.to_owned(), Instant::now());
-    drop(asked);
-    once(vm, watch, id, KEY);
+fn send_limited(vm: SocketAddr, observations: &Observations, id: &str) {
+    let mut sent = observations.sent.lock().expect("the mutex is not poisoned");
+    sent.insert(id.to_owned(), Instant::now());
+    drop(sent);
+    send_once(vm, observations, id, KEY);
 }
 
-fn once(vm: SocketAddr, watch: &Watch, id: &str, key: &str) {
+fn send_once(vm: SocketAddr, observations: &Observations, id: &str, key: &str) {
     let headers = [
         ("X-Request-Id", id),
         ("X-Deadline-Ms", "1500"),
@@ -136,14 +149,17 @@
     ];
     let reply = call(vm, "POST", "/u/x", &headers, b"body");
     if reply.status == 200 && reply.whole && reply.text() != id {
-        watch.wrong(format!("{id} got the answer `{}`", reply.text()));
+        observations.add_violation(format!("{id} got the answer `{}`", reply.text()));
     }
-    let mut once = watch.once.lock().expect("not poisoned");
-    once.insert(id.to_owned(), reply.status);
+    let mut once_statuses = observations
+        .once_statuses
+        .lock()
+        .expect("the mutex is not poisoned");
+    once_statuses.insert(id.to_owned(), reply.status);
 }
 
-fn turn(vm: SocketAddr, watch: &Watch, id: &str, program: &str) {
-    let budget = BUDGET.to_string();
+fn send_turn(vm: SocketAddr, observations: &Observations, id: &str, program: &str) {
+    let budget = BUDGET_TOKENS.to_string();
     let headers = [
         ("X-Request-Id", id),
         ("X-Program", program),
@@ -156,26 +172,30 @@
     ];
     let reply = call(vm, "POST", "/s/x", &headers, b"");
     let text = reply.text();
-    let got = text.matches("data:").count() as u64;
-    if reply.status == 200 && !events(1..=EVENTS).starts_with(&framed(&text)) {
-        watch.wrong(format!("{id} got `{text}`"));
+    let received_events = text.matches("data:").count() as u64;
+    if reply.status == 200 && !events(1..=EVENTS_PER_TURN).starts_with(&chunked_events(&text)) {
+        observations.add_violation(format!("{id} got `{text}`"));
     }
-    if reply.status == 200 && reply.whole && got != EVENTS {
-        watch.wrong(format!("{id} ended whole after {got} events"));
+    if reply.status == 200 && reply.whole && received_events != EVENTS_PER_TURN {
+        observations.add_violation(format!(
+            "{id} ended normally after {received_events} events"
+        ));
     }
     if program == "loop" {
-        watch.looped.fetch_add(got * TOKENS, Ordering::Relaxed);
+        observations
+            .looping_tokens
+            .fetch_add(received_events * TOKENS_PER_EVENT, Ordering::Relaxed);
     }
 }
 
-/// Events as the fakes send them, each a chunk.
-fn framed(text: &str) -> String {
+/// The complete events of the text, each as an HTTP chunk.
+fn chunked_events(text: &str) -> String {
     let whole = text.rfind("\n\n").map_or("", |end| &text[..end + 2]);
     whole.split_inclusive("\n\n").map(platform::chunk).collect()
 }
 
-/// Plays one fault, and ends it.
-fn harm(rng: &mut StdRng, store: &Store, vms: &mut [Vm], proxies: &[Proxy]) {
+/// Injects one random fault and ends it.
+fn inject_fault(rng: &mut StdRng, store: &Store, vms: &mut [Vm], proxies: &[Proxy]) {
     let pause = Duration::from_millis(rng.random_range(50..900));
     let index = rng.random_range(0..vms.len());
     match rng.random_range(0..7) {
@@ -207,23 +227,27 @@
         }
         _ => {
             let proxy = &proxies[rng.random_range(0..proxies.len())];
-            proxy.set(*HARMS.choose(rng).expect("there are some"));
+            proxy.set(*FAULTS.choose(rng).expect("the list is not empty"));
             std::thread::sleep(pause);
-            proxy.set(Harm::None);
+            proxy.set(Fault::None);
         }
     }
 }
 
-fn play(seed: u64) {
+fn run_seed(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let engines = [engine(), engine()];
-    let watch = Arc::new(Watch::default());
-    let observer = Arc::clone(&watch);
+    let engines = [start_engine(), start_engine()];
+    let observations = Arc::new(Observations::default());
+    let observer = Arc::clone(&observations);
     let plain = Backend::start(move |request, _| {
         let id = request.header("x-request-id").to_owned();
-        if id.starts_with(LIMITED) {
-            let came = (id.clone(), Instant::now());
-            observer.came.lock().expect("not poisoned").push(came);
+        if id.starts_with(LIMITED_ID_PREFIX) {
+            let received = (id.clone(), Instant::now());
+            observer
+                .received
+                .lock()
+                .expect("the mutex is not poisoned")
+                .push(received);
         }
         Act::Keep(whole(request, &id))
     });
@@ -232,32 +256,40 @@
         ("/s/", "stream", json!({})),
         ("/u/", "unsafe", json!({ "service": "other" })),
     ];
-    store.configure_teams(1, &routes, Some(teams(LIMIT)));
-    let behind = [
+    store.configure_teams(1, &routes, Some(teams(TEAM_LIMIT)));
+    let upstreams = [
         engines[0].address,
         engines[1].address,
         plain.address,
         store.address,
     ];
-    let proxies = behind.map(Proxy::start);
+    let proxies = upstreams.map(Proxy::start);
     store.register("s", "pool", proxies[0].address, "ready");
     store.register("t", "pool", proxies[1].address, "ready");
     store.register("u", "other", proxies[2].address, "ready");
-    let reached = store.behind(proxies[3].address);
-    let mut vms: Vec<Vm> = (0..3).map(|_| Vm::start(&reached)).collect();
+    let proxied_store = store.behind(proxies[3].address);
+    let mut vms: Vec<Vm> = (0..3).map(|_| Vm::start(&proxied_store)).collect();
     vms.iter().for_each(Vm::wait_ready);
-    let over = Arc::new(AtomicBool::new(false));
-    let to: Arc<[SocketAddr]> = vms.iter().map(|vm| vm.callers).collect();
-    let callers: Vec<_> = (0..CALLERS + PRESSING)
+    let stopped = Arc::new(AtomicBool::new(false));
+    let addresses: Arc<[SocketAddr]> = vms.iter().map(|vm| vm.callers).collect();
+    let callers: Vec<_> = (0..CALLERS + LIMITED_CALLERS)
         .map(|caller| {
-            let (to, watch, over) = (Arc::clone(&to), Arc::clone(&watch), Arc::clone(&over));
+            let (addresses, observations, stopped) = (
+                Arc::clone(&addresses),
+                Arc::clone(&observations),
+                Arc::clone(&stopped),
+            );
             let rng = StdRng::seed_from_u64(seed * CALLERS + caller);
-            let play = if caller < CALLERS { ask } else { press };
-            std::thread::spawn(move || play(&to, &watch, caller, &over, rng))
+            let run = if caller < CALLERS {
+                run_caller
+            } else {
+                run_limited_caller
+            };
+            std::thread::spawn(move || run(&addresses, &observations, caller, &stopped, rng))
         })
         .collect();
-    for _ in 0..FAULTS {
-        harm(&mut rng, &store, &mut vms, &proxies);
+    for _ in 0..FAULTS_PER_RUN {
+        inject_fault(&mut rng, &store, &mut vms, &proxies);
         std::thread::sleep(Duration::from_millis(rng.random_range(0..300)));
     }
     vms.iter().for_each(Vm::wait_ready);
@@ -270,33 +302,42 @@
         vms.iter()
             .all(|vm| call(vm.callers, "POST", "/u/x", &headers, b"").status == 200)
     });
-    over.store(true, Ordering::Relaxed);
+    stopped.store(true, Ordering::Relaxed);
     for caller in callers {
-        caller.join().expect("a caller ends");
+        caller.join().expect("no caller panics");
     }
-    check(seed, &watch, &plain);
-    check_teams(seed, &watch, engines.iter().chain([&plain]));
+    check_answers(seed, &observations, &plain);
+    check_teams(seed, &observations, engines.iter().chain([&plain]));
 }
 
-/// The most requests that both began and came to a server within one window.
-fn within(requests: &[(Instant, Instant)]) -> usize {
+/// Largest number of requests that were both sent and received within one window.
+fn most_in_window(requests: &[(Instant, Instant)]) -> usize {
     let counts = requests.iter().map(|(begin, _)| {
         let end = *begin + WINDOW;
         let inside = requests
             .iter()
-            .filter(|(asked, came)| asked >= begin && *came < end);
+            .filter(|(sent, received)| sent >= begin && *received < end);
         inside.count()
     });
     counts.max().unwrap_or(0)
 }
 
-/// No server has seen a key, each has seen the right team, and no window has more than the limit. What began before a
-/// window and was held up on its way does not count there; there is one such request for each caller at the most.
-fn check_teams<'a>(seed: u64, watch: &Watch, servers: impl Iterator<Item = &'a Backend>) {
+/// Checks that no server saw an API key, that each saw the right team, and that no window exceeds the limit. Requests
+/// sent before a window and delayed on the way do not count; there is at most one for each caller.
+fn check_teams<'a>(
+    seed: u64,
+    observations: &Observations,
+    servers: impl Iterator<Item = &'a Backend>,
+) {
     for server in servers {
-        for request in server.requests.lock().expect("not poisoned").iter() {
+        for request in server
+            .requests
+            .lock()
+            .expect("the mutex is not poisoned")
+            .iter()
+        {
             let id = request.header("x-request-id");
-            let team = if id.starts_with(LIMITED) {
+            let team = if id.starts_with(LIMITED_ID_PREFIX) {
                 "payroll"
             } else {
                 "audit"
@@ -305,34 +346,52 @@
             assert_eq!(headers, (team, ""), "seed {seed}: {id}");
         }
     }
-    let asked = watch.asked.lock().expect("not poisoned");
-    let came = watch.came.lock().expect("not poisoned");
-    assert!(!came.is_empty(), "seed {seed}: the team was never served");
-    let arrivals = busiest(came.iter().map(|(_, at)| *at).collect(), WINDOW);
-    let begun = came.iter().map(|(id, at)| (asked[id], *at));
-    let within = within(&begun.collect::<Vec<_>>());
-    let most = most(LIMIT);
+    let sent = observations.sent.lock().expect("the mutex is not poisoned");
+    let received = observations
+        .received
+        .lock()
+        .expect("the mutex is not poisoned");
+    assert!(
+        !received.is_empty(),
+        "seed {seed}: the team was never served"
+    );
+    let arrivals = busiest(received.iter().map(|(_, at)| *at).collect(), WINDOW);
+    let intervals = received.iter().map(|(id, at)| (sent[id], *at));
+    let most_in_window = most_in_window(&intervals.collect::<Vec<_>>());
+    let most = most(TEAM_LIMIT);
     assert!(
-        within as f64 <= most,
-        "seed {seed}: {within} requests in a window"
+        most_in_window as f64 <= most,
+        "seed {seed}: {most_in_window} requests in a window"
     );
-    let held_up = PRESSING as f64;
+    let max_delayed = LIMITED_CALLERS as f64;
     assert!(
-        arrivals as f64 <= most + held_up,
-        "seed {seed}: {arrivals} came in a window"
+        arrivals as f64 <= most + max_delayed,
+        "seed {seed}: {arrivals} requests arrived in a window"
     );
 }
 
-/// What must hold, whatever happened.
-fn check(seed: u64, watch: &Watch, plain: &Backend) {
-    let wrong = watch.wrong.lock().expect("not poisoned");
-    assert!(wrong.is_empty(), "seed {seed}: {wrong:?}");
-    let handed = watch.looped.load(Ordering::Relaxed);
-    assert!(handed <= BUDGET + MOST, "seed {seed}: {handed} tokens");
-    let requests = plain.requests.lock().expect("not poisoned");
-    let once = watch.once.lock().expect("not poisoned");
-    assert!(!once.is_empty(), "seed {seed}: nothing was asked");
-    for (id, status) in once.iter() {
+/// Checks answers, the budget of the looping program, and that no request ran twice or after a refusal.
+fn check_answers(seed: u64, observations: &Observations, plain: &Backend) {
+    let violations = observations
+        .violations
+        .lock()
+        .expect("the mutex is not poisoned");
+    assert!(violations.is_empty(), "seed {seed}: {violations:?}");
+    let delivered = observations.looping_tokens.load(Ordering::Relaxed);
+    assert!(
+        delivered <= BUDGET_TOKENS + MAX_TURN_TOKENS,
+        "seed {seed}: {delivered} tokens"
+    );
+    let requests = plain.requests.lock().expect("the mutex is not poisoned");
+    let once_statuses = observations
+        .once_statuses
+        .lock()
+        .expect("the mutex is not poisoned");
+    assert!(
+        !once_statuses.is_empty(),
+        "seed {seed}: no request was sent"
+    );
+    for (id, status) in once_statuses.iter() {
         let runs = |request: &&Request| request.header("x-request-id") == id;
         let runs = requests.iter().filter(runs).count();
         assert!(runs <= 1, "seed {seed}: {id} ran {runs} times");
@@ -345,13 +404,13 @@
 }
 
 #[test]
-fn promises_hold_under_random_faults() {
+fn invariants_hold_under_random_faults() {
     let seeds = std::env::var("SOAK_SEEDS").ok().and_then(|text| {
         let (from, to) = text.split_once("..")?;
         Some(from.parse().ok()?..to.parse().ok()?)
     });
     match seeds {
-        Some(seeds) => std::ops::Range::for_each(seeds, play),
-        None => SEEDS.into_iter().for_each(play),
+        Some(seeds) => std::ops::Range::for_each(seeds, run_seed),
+        None => SEEDS.into_iter().for_each(run_seed),
     }
 }
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections through it.
+//! A loopback proxy that injects network faults.
 
 use super::platform::{address, listen};
 use std::io::{Read, Write};
@@ -7,79 +7,81 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-/// What happens to bytes on their way.
+/// A fault on the connections through the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Harm {
-    /// They pass.
+pub enum Fault {
     None,
-    /// They come 100 ms later.
+    /// Bytes are delayed by 100 ms.
     Delay,
-    /// The connection is reset.
+    /// The connection is closed at the next bytes.
     Reset,
-    /// Requests pass, answers are held up.
+    /// Requests pass, answers are blocked.
     OneWay,
-    /// Nothing passes.
+    /// Both directions are blocked.
     Silence,
 }
 
-/// All harms but none.
-pub const HARMS: [Harm; 4] = [Harm::Delay, Harm::Reset, Harm::OneWay, Harm::Silence];
+/// All faults, without `None`.
+pub const FAULTS: [Fault; 4] = [Fault::Delay, Fault::Reset, Fault::OneWay, Fault::Silence];
 
 /// A proxy in front of one address.
 #[derive(Debug, Clone)]
 pub struct Proxy {
     pub address: SocketAddr,
-    harm: Arc<AtomicU8>,
+    fault: Arc<AtomicU8>,
 }
 
 impl Proxy {
-    pub fn start(to: SocketAddr) -> Self {
-        let harm = Arc::new(AtomicU8::new(Harm::None as u8));
-        let shared = Arc::clone(&harm);
+    pub fn start(target: SocketAddr) -> Self {
+        let fault = Arc::new(AtomicU8::new(Fault::None as u8));
+        let shared = Arc::clone(&fault);
         let bound = listen(SocketAddr::new(address(), 0), move |caller| {
-            let Ok(server) = TcpStream::connect(to) else {
+            let Ok(server) = TcpStream::connect(target) else {
                 return;
             };
-            let (back, forth) = (handles(&server, &caller), handles(&caller, &server));
-            let harm = Arc::clone(&shared);
-            std::thread::spawn(move || pass(back, &harm, true));
-            pass(forth, &shared, false);
+            let (answers_path, requests_path) = (
+                clone_handles(&server, &caller),
+                clone_handles(&caller, &server),
+            );
+            let fault = Arc::clone(&shared);
+            std::thread::spawn(move || forward(answers_path, &fault, true));
+            forward(requests_path, &shared, false);
         });
         Self {
             address: bound,
-            harm,
+            fault,
         }
     }
 
-    pub fn set(&self, harm: Harm) {
-        self.harm.store(harm as u8, Ordering::Relaxed);
+    pub fn set(&self, fault: Fault) {
+        self.fault.store(fault as u8, Ordering::Relaxed);
     }
 }
 
-fn handles(from: &TcpStream, to: &TcpStream) -> (TcpStream, TcpStream) {
+fn clone_handles(from: &TcpStream, target: &TcpStream) -> (TcpStream, TcpStream) {
     let handle = |stream: &TcpStream| stream.try_clone().expect("a handle");
-    (handle(from), handle(to))
+    (handle(from), handle(target))
 }
 
-fn pass((mut from, mut to): (TcpStream, TcpStream), harm: &AtomicU8, answers: bool) {
+fn forward((mut from, mut target): (TcpStream, TcpStream), fault: &AtomicU8, is_answer_path: bool) {
     let mut buffer = [0; 4096];
     while let Ok(size) = from.read(&mut buffer) {
         if size == 0 {
             break;
         }
-        let is = |which: Harm| harm.load(Ordering::Relaxed) == which as u8;
-        while is(Harm::Silence) || (answers && is(Harm::OneWay)) {
+        let is_active = |expected: Fault| fault.load(Ordering::Relaxed) == expected as u8;
+        while is_active(Fault::Silence) || (is_answer_path && is_active(Fault::OneWay)) {
             std::thread::sleep(Duration::from_millis(10));
         }
-        if is(Harm::Delay) {
+        if is_active(Fault::Delay) {
             std::thread::sleep(Duration::from_millis(100));
         }
-        if is(Harm::Reset) || to.write_all(&buffer[..size]).is_err() {
+        if is_active(Fault::Reset) || target.write_all(&buffer[..size]).is_err() {
             break;
         }
     }
-    // Both ends see it; either may have closed already.
+    // Closes both connections; errors mean that one is closed already.
     drop(from.shutdown(Shutdown::Both));
-    drop(to.shutdown(Shutdown::Both));
+    drop(target.shutdown(Shutdown::Both));
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small test environment: the built binary as separate processes on loopback.
+//! Test environment: the built binary as separate processes on loopback.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -15,8 +15,7 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// How long a poll goes on before the test fails; far more than any step takes.
-const LIMIT: Duration = Duration::from_mins(1);
+const POLL_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// One VM: its process and its addresses.
 pub struct Vm {
@@ -38,7 +37,7 @@
     pub vms: Vec<Vm>,
 }
 
-/// The addresses that a VM is to listen on.
+/// Listen addresses of a VM.
 struct Listen {
     callers: SocketAddr,
     peers: SocketAddr,
@@ -55,11 +54,10 @@
     }
 }
 
-/// An address that nobody listens on.
+/// An address that no other process listens on.
 ///
-/// A port that was free a moment ago can be taken by another test or by an outgoing connection,
-/// and the test then talks to a stranger. Each test process has a loopback address of its own, and
-/// ports below those of outgoing connections.
+/// Each test process uses a loopback address of its own and ports below the ephemeral range, so that
+/// neither another test nor an outgoing connection can take the port.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(10_000);
     let [_, high, middle, low] = std::process::id().to_be_bytes();
@@ -68,7 +66,7 @@
 }
 
 impl Environment {
-    /// Stand-ins, configuration, and so many VMs, ready to serve.
+    /// Starts the stand-ins, publishes the configuration, and starts VMs until they are ready.
     pub fn start(engines: usize, vms: usize) -> Self {
         let mut environment = Self::platform(engines);
         environment.configure();
@@ -76,7 +74,7 @@
         environment
     }
 
-    /// Stand-ins only.
+    /// Starts the stand-ins only.
     pub fn platform(engines: usize) -> Self {
         let dir = tempfile::tempdir().expect("a temporary folder");
         let log = standin(&dir, "log", 0);
@@ -85,7 +83,7 @@
             .map(|index| standin(&dir, "engine", index))
             .collect();
         let http = reqwest::blocking::Client::builder()
-            .timeout(LIMIT)
+            .timeout(POLL_TIMEOUT)
             .pool_max_idle_per_host(0)
             .build()
             .expect("a client");
@@ -130,7 +128,7 @@
         );
     }
 
-    /// Starts a VM list of the platform and gives its address.
+    /// Starts a stand-in for the VM list of the platform and returns its address.
     pub fn vm_list(&mut self) -> SocketAddr {
         let list = standin(&self.dir, "vms", 0);
         let address = list.address;
@@ -138,7 +136,7 @@
         address
     }
 
-    /// Publishes a configuration change and gives its offset.
+    /// Publishes a configuration change and returns its offset.
     pub fn publish(&self, key: &str, value: Value, base: Option<u64>) -> u64 {
         let change = json!({ "schema": 1, "key": key, "base": base, "value": value, "by": "ama" });
         let url = format!("http://{}/streams/config", self.log.address);
@@ -162,10 +160,10 @@
         self.wait_owned();
     }
 
-    /// Starts one more VM, with other settings where `patch` names them.
-    pub fn add_vm(&mut self, patch: &Value) {
+    /// Starts one more VM whose settings are overridden by `overrides`.
+    pub fn add_vm(&mut self, overrides: &Value) {
         let seeds: Vec<SocketAddr> = self.vms.iter().map(|vm| vm.peers).collect();
-        self.start_vm(&Listen::free(), &seeds, patch);
+        self.start_vm(&Listen::free(), &seeds, overrides);
     }
 
     fn start_vm(&mut self, listen: &Listen, seeds: &[SocketAddr], other: &Value) {
@@ -187,7 +185,7 @@
             all.extend(other);
         }
         let path = self.dir.path().join(format!("vm-{index}.json"));
-        std::fs::write(&path, settings.to_string()).expect("the folder is ours");
+        std::fs::write(&path, settings.to_string()).expect("the folder is writable");
         let process = serve(&self.dir, &path, callers);
         self.vms.push(Vm {
             process,
@@ -198,22 +196,22 @@
         });
     }
 
-    /// Starts a VM that was killed or has stopped again.
+    /// Starts a killed or stopped VM again with its settings.
     pub fn restart_vm(&mut self, index: usize) {
         let vm = &self.vms[index];
         let (settings, callers) = (vm.settings.clone(), vm.callers);
         self.vms[index].process = serve(&self.dir, &settings, callers);
     }
 
-    /// Waits until every shard has an owner among the VMs that answer.
+    /// Waits until every shard has an owner among the reachable VMs.
     pub fn wait_owned(&self) {
         poll("every shard has an owner", || {
-            let owned: usize = self.vms.iter().map(|vm| self.owned(vm)).sum();
-            (owned >= 16).then_some(())
+            let owned_shards: usize = self.vms.iter().map(|vm| self.owned_shards(vm)).sum();
+            (owned_shards >= 16).then_some(())
         });
     }
 
-    /// Waits until a VM takes new programs on.
+    /// Waits until a VM accepts new programs.
     pub fn wait_ready(&self, index: usize) {
         poll("the VM is ready", || {
             let status = self.try_status(self.vms[index].operators, "/readyz");
@@ -221,14 +219,14 @@
         });
     }
 
-    fn owned(&self, vm: &Vm) -> usize {
+    fn owned_shards(&self, vm: &Vm) -> usize {
         let state = self.try_get(vm.operators, "/state");
         state
             .and_then(|(_, state)| Some(state["owner"]["shards"].as_object()?.len()))
             .unwrap_or(0)
     }
 
-    /// The status and body that a path gives, if anything answers.
+    /// Status and body of a GET request, or `None` without an answer.
     pub fn try_get(&self, address: SocketAddr, path: &str) -> Option<(u16, Value)> {
         let request = self.http.get(format!("http://{address}{path}"));
         let reply = request.timeout(Duration::from_secs(3)).send().ok()?;
@@ -236,7 +234,7 @@
         Some((status, reply.json().unwrap_or(Value::Null)))
     }
 
-    /// The status that a path gives, if anything listens.
+    /// Status of a GET request, or `None` without an answer.
     pub fn try_status(&self, address: SocketAddr, path: &str) -> Option<u16> {
         self.try_get(address, path).map(|(status, _)| status)
     }
@@ -244,11 +242,11 @@
     /// The VM that owns a program.
     pub fn owner(&self, program: &str) -> usize {
         poll("the program has an owner", || {
-            let seen = self.vms.iter().find_map(|vm| {
-                let (_, look) = self.try_get(vm.callers, &format!("/v1/programs/{program}"))?;
-                look["owner"].as_str().map(str::to_owned)
+            let owner = self.vms.iter().find_map(|vm| {
+                let (_, view) = self.try_get(vm.callers, &format!("/v1/programs/{program}"))?;
+                view["owner"].as_str().map(str::to_owned)
             })?;
-            (0..self.vms.len()).find(|index| format!("vm-{index}") == seen)
+            (0..self.vms.len()).find(|index| format!("vm-{index}") == owner)
         })
     }
 
@@ -257,13 +255,13 @@
             .http
             .get(format!("http://{address}{path}"))
             .send()
-            .expect("it answers");
+            .expect("the VM answers");
         let status = reply.status().as_u16();
         (status, reply.json().unwrap_or(Value::Null))
     }
 
     pub fn post(&self, address: SocketAddr, path: &str, body: &Value) -> (u16, Value) {
-        self.try_post(address, path, body).expect("it answers")
+        self.try_post(address, path, body).expect("the VM answers")
     }
 
     pub fn try_post(&self, address: SocketAddr, path: &str, body: &Value) -> Option<(u16, Value)> {
@@ -273,7 +271,7 @@
         Some((status, reply.json().ok()?))
     }
 
-    /// Posts to a stand-in, which wants to be told that the body is JSON.
+    /// Posts to a stand-in, which requires a JSON content type.
     pub fn post_json(&self, address: SocketAddr, path: &str, body: &Value) -> (u16, Value) {
         let reply = self
             .http
@@ -296,7 +294,7 @@
         assert!(reply.status().is_success(), "{faults}");
     }
 
-    /// Makes the log forget the entries of a stream before an offset.
+    /// Trims the entries of a stream before an offset.
     pub fn trim(&self, stream: &str, before: u64) {
         let body = json!({ "stream": stream, "before": before });
         let url = format!("http://{}/trim", self.log.address);
@@ -313,7 +311,7 @@
         self.get(address, "/counters").1
     }
 
-    /// Opens a program at a VM and gives its id.
+    /// Opens a program at a VM and returns its id.
     pub fn open(&self, vm: usize, class: &str, key: &str, tokens: u64) -> String {
         let body = json!({ "class": class, "key": key, "budget": { "tokens": tokens } });
         let (status, reply) = self.post(self.vms[vm].callers, "/v1/programs", &body);
@@ -321,7 +319,6 @@
         reply["program"].as_str().expect("an id").to_owned()
     }
 
-    /// Makes a call at a VM.
     pub fn call(&self, vm: usize, program: &str, body: &Value) -> (u16, Value) {
         self.post(
             self.vms[vm].callers,
@@ -330,7 +327,6 @@
         )
     }
 
-    /// Ends a program at a VM.
     pub fn end(&self, vm: usize, program: &str) -> (u16, Value) {
         self.post(
             self.vms[vm].callers,
@@ -339,39 +335,39 @@
         )
     }
 
-    /// What the run of a program does at a VM now.
+    /// Stage of the current run of a program at a VM.
     pub fn stage(&self, vm: usize, program: &str) -> Option<String> {
         let (_, state) = self.try_get(self.vms[vm].operators, "/state")?;
         let run = &state["owner"]["runs"][program];
         run["stage"].as_str().map(str::to_owned)
     }
 
-    /// Waits until the run of a program has come to `stage`.
+    /// Waits until the run of a program is at `stage`.
     pub fn wait_stage(&self, vm: usize, program: &str, stage: &str) {
         poll(stage, || (self.stage(vm, program)? == stage).then_some(()));
     }
 
-    /// Makes the log and the service work as they should again.
-    pub fn heal(&self) {
-        let well = json!({ "down": false, "slow_ms": 0, "frozen": false, "lose_replies": 0 });
-        self.faults(self.log.address, &well);
+    /// Clears the faults of the log and of the service.
+    pub fn clear_faults(&self) {
+        let no_faults = json!({ "down": false, "slow_ms": 0, "frozen": false, "lose_replies": 0 });
+        self.faults(self.log.address, &no_faults);
         self.faults(self.log.address, &json!({ "hold_reads": false }));
-        self.faults(self.service.address, &well);
+        self.faults(self.service.address, &no_faults);
         self.faults(self.service.address, &json!({ "reply_after_ms": 0 }));
     }
 
-    /// Entries of the log that hold each of the texts.
+    /// Number of log entries that contain all of the texts.
     pub fn entries(&self, texts: &[&str]) -> u64 {
         let path = format!("/entries?holding={}", texts.join(","));
         self.get(self.log.address, &path).1.as_u64().unwrap_or(0)
     }
 
-    /// Waits until the log has a record of a kind for a program.
+    /// Waits until the log has a record of this kind for the program.
     pub fn wait_record(&self, program: &str, kind: &str) {
         poll(kind, || (self.entries(&[program, kind]) > 0).then_some(()));
     }
 
-    /// How often the effect of a call took place at the service.
+    /// How often a call took effect at the service.
     pub fn effects(&self, program: &str, call: u64) -> u64 {
         let counters = self.counters(self.service.address);
         counters["effects"][format!("{program}/{call}")]
@@ -391,14 +387,14 @@
     json!({ "call": call, "service": { "service": "filing", "operation": operation, "body": body } })
 }
 
-/// Asks again until there is a value; fails the test after a long time.
-pub fn poll<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
-    let until = Instant::now() + LIMIT;
+/// Polls until there is a value; panics after `POLL_TIMEOUT`.
+pub fn poll<T>(what: &str, mut attempt: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + POLL_TIMEOUT;
     loop {
-        if let Some(value) = ask() {
+        if let Some(value) = attempt() {
             return value;
         }
-        assert!(Instant::now() < until, "never came: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -1,13 +1,13 @@
 //! Processes of the built binary.
 
-use super::{LIMIT, free_address, poll};
+use super::{POLL_TIMEOUT, free_address, poll};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// A process that is killed when the test is over.
+/// A child process of a test, killed on drop.
 pub struct Process {
     child: Child,
     pub address: SocketAddr,
@@ -45,12 +45,12 @@
 
     /// Waits until the process has ended by itself.
     pub fn wait(&mut self) -> std::process::ExitStatus {
-        let until = Instant::now() + LIMIT;
+        let deadline = Instant::now() + POLL_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("the process is ours") {
                 return status;
             }
-            assert!(Instant::now() < until, "the process does not end");
+            assert!(Instant::now() < deadline, "the process does not end");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -78,7 +78,6 @@
     process
 }
 
-/// Starts a VM.
 pub(super) fn serve(dir: &TempDir, settings: &std::path::Path, callers: SocketAddr) -> Process {
     let name = settings
         .file_stem()
@@ -98,7 +97,7 @@
         .create(true)
         .append(true)
         .open(log)
-        .expect("our file");
+        .expect("the log file is writable");
     let child = Command::new(env!("CARGO_BIN_EXE_vanillatrail"))
         .args(arguments)
         .stdout(Stdio::null())
--- a/tests/support/stream.rs
+++ b/tests/support/stream.rs
@@ -1,10 +1,10 @@
-//! Answers that are read as streams.
+//! Streamed answers (server-sent events).
 
 use super::Environment;
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 
-/// The events of one answer as a caller reads them.
+/// The events of one streamed answer.
 pub struct Stream(std::io::Lines<BufReader<reqwest::blocking::Response>>);
 
 impl Iterator for Stream {
@@ -28,7 +28,7 @@
 }
 
 impl Environment {
-    /// Makes a call at a VM and reads its answer as a stream.
+    /// Makes a call at a VM with a streamed answer.
     pub fn stream_call(&self, vm: usize, program: &str, body: &Value) -> Stream {
         let url = format!(
             "http://{}/v1/programs/{program}/calls",
@@ -37,7 +37,7 @@
         Self::stream(self.http.post(url).body(body.to_string()))
     }
 
-    /// Reads the rest of an answer as a stream.
+    /// Resumes a streamed answer; `rest` is the call number with the query.
     pub fn stream_rest(&self, vm: usize, program: &str, rest: &str) -> Stream {
         let base = format!("http://{}/v1/programs/{program}", self.vms[vm].callers);
         Self::stream(self.http.get(format!("{base}/calls/{rest}")))
--- a/tests/world/check.rs
+++ b/tests/world/check.rs
@@ -1,26 +1,29 @@
-//! The promises, as far as they can be seen from outside.
+//! Checks of the invariants that can be observed from outside.
 
 use super::{BUDGET, World, program};
 
 impl World {
-    /// Every promise that can be seen from outside, after each step.
+    /// Checks all invariants that can be observed from outside.
     pub fn check(&self) -> Result<(), String> {
-        if let Some(broken) = &self.broken {
-            return Err(broken.clone());
+        if let Some(violation) = &self.violation {
+            return Err(violation.clone());
         }
         for (vm, state) in self.vms.iter().enumerate() {
-            if state.table != self.truth.1[state.at] {
-                return Err(format!("vm-{vm} has another history at {}", state.at));
+            if state.table != self.reference.1[state.position] {
+                return Err(format!(
+                    "vm-{vm} has a different history at {}",
+                    state.position
+                ));
             }
         }
         if let Some((call, count)) = self.effects.iter().find(|(_, count)| **count > 1) {
             return Err(format!("{call:?} took effect {count} times"));
         }
         if let Some(run) = self.refused.intersection(&self.started).next() {
-            return Err(format!("run {run} was refused as not run, and sent"));
+            return Err(format!("run {run} was refused as not run, but sent"));
         }
-        let tables = &self.truth.1;
-        let table = tables.last().expect("one");
+        let tables = &self.reference.1;
+        let table = tables.last().expect("at least one table");
         for index in 0..2 {
             let program = table
                 .get(program(index))
@@ -33,15 +36,15 @@
                 ));
             }
         }
-        for ((index, call), answer) in &self.told {
+        for ((index, call), answer) in &self.answers {
             let program = table
                 .get(program(*index))
                 .map_err(|failure| failure.to_string())?;
             let index = usize::try_from(call.0).expect("small") - 1;
-            let kept = program.kept.get(index).map(|kept| &kept.answer);
-            if kept != Some(answer) {
+            let stored = program.kept.get(index).map(|stored| &stored.answer);
+            if stored != Some(answer) {
                 return Err(format!(
-                    "call {call} was told {answer:?}, the history has {kept:?}"
+                    "call {call} was answered {answer:?}, but the history has {stored:?}"
                 ));
             }
         }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,10 +1,10 @@
-//! VMs, a log and backend servers in memory, driven step by step.
+//! Simulated VMs with a log and backend servers in memory, driven step by step.
 
 mod check;
 mod service;
 mod step;
 
-pub use step::{Seen, Step};
+pub use step::{Counters, Step};
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -31,18 +31,18 @@
     digest: Digest,
     epoch: Epoch,
     kind: Kind,
-    /// The record that the run waits for.
-    awaits: Option<Sequence>,
+    /// Record whose read-back the run waits for.
+    awaited_record: Option<Sequence>,
 }
 
-/// A page in a socket: entries up to this place, asked for at this time.
+/// A page of the log in a socket: its end position, and when it was requested.
 type Page = (usize, Instant);
 
 #[derive(Debug, Default)]
 struct Vm {
     boot: u64,
     paused: bool,
-    at: usize,
+    position: usize,
     page: Option<Page>,
     ledger: Ledger,
     table: Table,
@@ -54,7 +54,7 @@
 }
 
 #[derive(Debug)]
-struct Sent {
+struct Request {
     vm: usize,
     boot: u64,
     program: usize,
@@ -63,24 +63,24 @@
     served: bool,
 }
 
-/// Everything.
+/// The simulated deployment with the state that the checks need.
 pub struct World {
     now: Instant,
     up: bool,
     log: Vec<Record>,
     copies: Vec<Record>,
     vms: Vec<Vm>,
-    wire: Vec<Sent>,
-    /// What a reader that misses nothing holds after each record.
-    truth: (Ledger, Vec<Table>),
+    in_flight: Vec<Request>,
+    /// Ledger of a reader without faults, and its table after each record.
+    reference: (Ledger, Vec<Table>),
     effects: BTreeMap<(usize, Call), u64>,
     spent: BTreeMap<usize, u64>,
-    told: BTreeMap<(usize, Call), Answer>,
+    answers: BTreeMap<(usize, Call), Answer>,
     refused: BTreeSet<u64>,
     started: BTreeSet<u64>,
     runs: u64,
-    broken: Option<String>,
-    pub seen: Seen,
+    violation: Option<String>,
+    pub counters: Counters,
 }
 
 fn program(index: usize) -> id::Program {
@@ -99,16 +99,16 @@
             log: Vec::new(),
             copies: Vec::new(),
             vms: (0..3).map(|_| Vm::default()).collect(),
-            wire: Vec::new(),
-            truth: (Ledger::default(), vec![Table::default()]),
+            in_flight: Vec::new(),
+            reference: (Ledger::default(), vec![Table::default()]),
             effects: BTreeMap::new(),
             spent: BTreeMap::new(),
-            told: BTreeMap::new(),
+            answers: BTreeMap::new(),
             refused: BTreeSet::new(),
             started: BTreeSet::new(),
             runs: 0,
-            broken: None,
-            seen: Seen::default(),
+            violation: None,
+            counters: Counters::default(),
         };
         world.open();
         world
@@ -116,7 +116,7 @@
 
     /// The first VM claims the shard and opens two programs.
     fn open(&mut self) {
-        self.push(0, Epoch::default(), Body::Claim);
+        self.enqueue(0, Epoch::default(), Body::Claim);
         let epoch = Epoch::at(Offset(0), 0);
         for index in 0..2 {
             let class = "quick".parse().expect("a name");
@@ -132,19 +132,19 @@
                 budget,
                 at_ms: 0,
             };
-            self.push(0, epoch, opened);
+            self.enqueue(0, epoch, opened);
         }
         for _ in 0..3 {
             self.append(0, false, false);
         }
         for vm in 0..3 {
             self.fetch(vm);
-            self.page(vm);
+            self.apply_page(vm);
         }
     }
 
-    pub fn take(&mut self, step: &Step) {
-        self.seen.steps += 1;
+    pub fn apply(&mut self, step: &Step) {
+        self.counters.steps += 1;
         match *step {
             Step::Receipt { vm, program } => self.start(vm, program, None),
             Step::Model {
@@ -152,20 +152,24 @@
                 program,
                 tokens,
             } => self.start(vm, program, Some(tokens)),
-            Step::Append { vm, lost, copied } => self.append(vm, lost, copied),
+            Step::Append {
+                vm,
+                lost,
+                duplicated,
+            } => self.append(vm, lost, duplicated),
             Step::Fetch { vm } => self.fetch(vm),
-            Step::Take { vm } => self.page(vm),
-            Step::Turn { vm } => {
+            Step::ApplyPage { vm } => self.apply_page(vm),
+            Step::Sync { vm } => {
                 for _ in 0..self.vms[vm].queue.len() {
                     self.append(vm, false, false);
                 }
                 self.fetch(vm);
-                self.page(vm);
+                self.apply_page(vm);
             }
             Step::Settle { vm } => self.settle(vm),
             Step::Claim { vm } => {
                 if !self.vms[vm].paused && self.vms[vm].epoch.is_none() {
-                    self.push(vm, Epoch::default(), Body::Claim);
+                    self.enqueue(vm, Epoch::default(), Body::Claim);
                 }
             }
             Step::Withdraw { vm, program } => self.withdraw(vm, program),
@@ -177,21 +181,21 @@
                 };
             }
             Step::Pause { vm } => self.vms[vm].paused = true,
-            Step::Wake { vm } => self.vms[vm].paused = false,
-            Step::Copy { which } => {
-                if self.up && which < self.copies.len() {
-                    let copy = self.copies.remove(which);
-                    self.place(copy);
+            Step::Resume { vm } => self.vms[vm].paused = false,
+            Step::Copy { index } => {
+                if self.up && index < self.copies.len() {
+                    let copy = self.copies.remove(index);
+                    self.append_to_log(copy);
                 }
             }
-            Step::Serve { which } => self.serve(which),
-            Step::Reply { which, lost } => self.reply(which, lost),
+            Step::Serve { index } => self.serve(index),
+            Step::Reply { index, lost } => self.reply(index, lost),
             Step::Log { up } => self.up = up,
             Step::Time { ms } => self.now += Duration::from_millis(ms),
         }
     }
 
-    fn push(&mut self, vm: usize, epoch: Epoch, body: Body) -> Sequence {
+    fn enqueue(&mut self, vm: usize, epoch: Epoch, body: Body) -> Sequence {
         let state = &mut self.vms[vm];
         state.sequence += 1;
         let sequence = Sequence(state.sequence);
@@ -210,29 +214,29 @@
         sequence
     }
 
-    fn append(&mut self, vm: usize, lost: bool, copied: bool) {
+    fn append(&mut self, vm: usize, lost: bool, duplicated: bool) {
         if !self.up || self.vms[vm].paused {
             return;
         }
         let Some(record) = self.vms[vm].queue.front().cloned() else {
             return;
         };
-        if copied {
+        if duplicated {
             self.copies.push(record.clone());
         }
-        self.place(record);
+        self.append_to_log(record);
         if !lost {
             self.vms[vm].queue.pop_front();
         }
     }
 
-    fn place(&mut self, record: Record) {
-        let (ledger, tables) = &mut self.truth;
-        let mut table = tables.last().expect("one for the start").clone();
+    fn append_to_log(&mut self, record: Record) {
+        let (ledger, tables) = &mut self.reference;
+        let mut table = tables.last().expect("at least one table").clone();
         match ledger.apply(Offset(self.log.len() as u64), 0, &record) {
             Validity::Valid => table.apply(&record.body),
-            Validity::Claimed(_) => self.seen.takeovers += 1,
-            Validity::Fenced => self.seen.void += 1,
+            Validity::Claimed(_) => self.counters.takeovers += 1,
+            Validity::Fenced => self.counters.fenced += 1,
             Validity::Duplicate => {}
         }
         tables.push(table);
@@ -252,11 +256,11 @@
         }
         let call = table.next();
         let digest = Digest::of(b"body");
-        // The caller also asks again for the call before: it has to get the same answer.
+        // The caller also repeats the previous call, which must get the same answer.
         if call.0 > 1
             && let Admission::Kept(answer) = table.admit(Call(call.0 - 1), digest)
         {
-            self.tell(index, Call(call.0 - 1), &answer);
+            self.answer_caller(index, Call(call.0 - 1), &answer);
         }
         let state = &self.vms[vm];
         let Ok(table) = state.table.get(program(index)) else {
@@ -291,14 +295,14 @@
             }
         };
         self.runs += 1;
-        let awaits = Some(self.push(vm, epoch, body));
+        let awaited_record = Some(self.enqueue(vm, epoch, body));
         let run = Run {
             number: self.runs,
             call,
             digest,
             epoch,
             kind,
-            awaits,
+            awaited_record,
         };
         self.vms[vm].runs.insert(index, run);
     }
@@ -309,8 +313,8 @@
         }
     }
 
-    /// Folds the page that waits, then tells the runs whose records were in it.
-    fn page(&mut self, vm: usize) {
+    /// Applies the fetched page, then continues the runs whose records it contains.
+    fn apply_page(&mut self, vm: usize) {
         if self.vms[vm].paused {
             return;
         }
@@ -318,48 +322,48 @@
             return;
         };
         let mut read = Vec::new();
-        for at in self.vms[vm].at..end {
-            let record = self.log[at].clone();
+        for position in self.vms[vm].position..end {
+            let record = self.log[position].clone();
             let state = &mut self.vms[vm];
-            let mine = record.id.boot == Boot(state.boot * 10 + vm as u64);
-            let verdict = state.ledger.apply(Offset(at as u64), 0, &record);
-            match verdict {
+            let own = record.id.boot == Boot(state.boot * 10 + vm as u64);
+            let validity = state.ledger.apply(Offset(position as u64), 0, &record);
+            match validity {
                 Validity::Valid => state.table.apply(&record.body),
-                Validity::Claimed(epoch) => state.epoch = mine.then_some(epoch),
+                Validity::Claimed(epoch) => state.epoch = own.then_some(epoch),
                 Validity::Fenced | Validity::Duplicate => {}
             }
-            if mine && verdict != Validity::Duplicate {
-                read.push((record.id.sequence, verdict));
+            if own && validity != Validity::Duplicate {
+                read.push((record.id.sequence, validity));
             }
         }
-        self.vms[vm].at = end;
-        for (sequence, verdict) in read {
+        self.vms[vm].position = end;
+        for (sequence, validity) in read {
             self.vms[vm]
                 .settling
                 .retain(|(_, awaited)| *awaited != sequence);
             let found = self.vms[vm]
                 .runs
                 .iter()
-                .find(|(_, run)| run.awaits == Some(sequence));
+                .find(|(_, run)| run.awaited_record == Some(sequence));
             if let Some(index) = found.map(|(index, _)| *index) {
-                self.read_back(vm, index, verdict, asked);
+                self.read_back(vm, index, validity, asked);
             }
         }
     }
 
-    fn read_back(&mut self, vm: usize, index: usize, verdict: Validity, asked: Instant) {
+    fn read_back(&mut self, vm: usize, index: usize, validity: Validity, asked: Instant) {
         let state = &mut self.vms[vm];
-        let mut run = state.runs.remove(&index).expect("found");
-        run.awaits = None;
-        let valid = verdict == Validity::Valid;
-        let held = state.epoch == Some(run.epoch);
+        let mut run = state.runs.remove(&index).expect("the run exists");
+        run.awaited_record = None;
+        let valid = validity == Validity::Valid;
+        let owned = state.epoch == Some(run.epoch);
         let Ok(table) = state.table.get(program(index)) else {
             return;
         };
         if table.next() > run.call {
-            // What the history has is what the caller gets.
+            // The caller gets the answer that the history has.
             if valid && let Admission::Kept(answer) = table.admit(run.call, run.digest) {
-                self.tell(index, run.call, &answer);
+                self.answer_caller(index, run.call, &answer);
             }
             return;
         }
@@ -367,7 +371,7 @@
             Kind::Receipt(effect) => {
                 let open = table.intent.as_ref();
                 let open = open.is_some_and(|intent| intent.call == run.call);
-                let counts = valid && held && open;
+                let counts = valid && owned && open;
                 let now = self.now;
                 match effect.take(Event::ReadBack { counts, asked, now }) {
                     Action::Send => self.send(vm, index, run),
@@ -375,7 +379,7 @@
                     _ => {}
                 }
             }
-            Kind::Model { tokens } if valid && held => {
+            Kind::Model { tokens } if valid && owned => {
                 let tokens = *tokens;
                 *self.spent.entry(index).or_default() += tokens + question().content.len() as u64;
                 self.finish_model(vm, index, run, tokens);
@@ -403,7 +407,8 @@
             usage,
             server,
         };
-        run.awaits = Some(self.push(vm, run.epoch, done(index, &run, vec![question()], answer)));
+        run.awaited_record =
+            Some(self.enqueue(vm, run.epoch, done(index, &run, vec![question()], answer)));
         self.vms[vm].runs.insert(index, run);
     }
 }
--- a/tests/world/service.rs
+++ b/tests/world/service.rs
@@ -1,6 +1,6 @@
 //! Calls that must not be repeated, and the service that runs them.
 
-use super::{Kind, Run, Sent, World, done, program};
+use super::{Kind, Request, Run, World, done, program};
 use vanillatrail::effect::{Action, Event};
 use vanillatrail::id::Call;
 use vanillatrail::journal::Body;
@@ -9,20 +9,20 @@
 impl World {
     pub(super) fn send(&mut self, vm: usize, index: usize, run: Run) {
         let next = self
-            .truth
+            .reference
             .1
             .last()
-            .expect("one")
+            .expect("at least one table")
             .get(program(index))
             .expect("open")
             .next();
         if run.call > next {
-            self.broken = Some(format!("call {} sent before {next} was over", run.call));
+            self.violation = Some(format!("call {} sent before {next} had ended", run.call));
         }
         self.started.insert(run.number);
         let boot = self.vms[vm].boot;
         let (program, call) = (index, run.call);
-        self.wire.push(Sent {
+        self.in_flight.push(Request {
             vm,
             boot,
             program,
@@ -34,13 +34,13 @@
     }
 
     pub(super) fn drop_intent(&mut self, vm: usize, index: usize, mut run: Run) {
-        self.seen.dropped += 1;
+        self.counters.dropped += 1;
         self.refused.insert(run.number);
         let dropped = Body::Dropped {
             program: program(index),
             call: run.call,
         };
-        run.awaits = Some(self.push(vm, run.epoch, dropped));
+        run.awaited_record = Some(self.enqueue(vm, run.epoch, dropped));
         self.vms[vm].runs.insert(index, run);
     }
 
@@ -62,27 +62,35 @@
         }
     }
 
-    pub(super) fn serve(&mut self, which: usize) {
-        let Some(sent) = self.wire.get_mut(which).filter(|sent| !sent.served) else {
+    pub(super) fn serve(&mut self, request_index: usize) {
+        let Some(request) = self
+            .in_flight
+            .get_mut(request_index)
+            .filter(|request| !request.served)
+        else {
             return;
         };
-        sent.served = true;
-        self.seen.effects += 1;
-        *self.effects.entry((sent.program, sent.call)).or_default() += 1;
+        request.served = true;
+        self.counters.effects += 1;
+        *self
+            .effects
+            .entry((request.program, request.call))
+            .or_default() += 1;
     }
 
-    pub(super) fn reply(&mut self, which: usize, lost: bool) {
-        let Some(sent) = self.wire.get(which) else {
+    pub(super) fn reply(&mut self, request_index: usize, lost: bool) {
+        let Some(request) = self.in_flight.get(request_index) else {
             return;
         };
-        let (vm, index, number, served) = (sent.vm, sent.program, sent.run, sent.served);
-        let alive = self.vms[vm].boot == sent.boot && !self.vms[vm].paused;
+        let (vm, index, number, served) =
+            (request.vm, request.program, request.run, request.served);
+        let alive = self.vms[vm].boot == request.boot && !self.vms[vm].paused;
         if !alive || !(served || lost) {
             return;
         }
-        // A connection that breaks before the effect leaves the request on the wire.
+        // A request whose connection breaks before the effect can still reach the service.
         if served {
-            self.wire.remove(which);
+            self.in_flight.remove(request_index);
         }
         let Some(mut run) = self.vms[vm].runs.remove(&index) else {
             return;
@@ -113,7 +121,8 @@
                 return;
             }
         };
-        run.awaits = Some(self.push(vm, run.epoch, done(index, &run, Vec::new(), answer)));
+        run.awaited_record =
+            Some(self.enqueue(vm, run.epoch, done(index, &run, Vec::new(), answer)));
         self.vms[vm].runs.insert(index, run);
     }
 
@@ -132,7 +141,7 @@
             let Some(intent) = table.intent.clone().filter(|_| !busy) else {
                 continue;
             };
-            self.seen.unknown += 1;
+            self.counters.unknown += 1;
             let body = Body::Done {
                 program: program(index),
                 call: intent.call,
@@ -142,19 +151,21 @@
                     message: "lost".to_owned(),
                 },
             };
-            let sequence = self.push(vm, epoch, body);
+            let sequence = self.enqueue(vm, epoch, body);
             self.vms[vm].settling.insert((index, sequence));
         }
     }
 
-    pub(super) fn tell(&mut self, index: usize, call: Call, answer: &Answer) {
-        self.seen.answered += 1;
+    pub(super) fn answer_caller(&mut self, index: usize, call: Call, answer: &Answer) {
+        self.counters.answered += 1;
         let first = self
-            .told
+            .answers
             .entry((index, call))
             .or_insert_with(|| answer.clone());
         if first != answer {
-            self.broken = Some(format!("call {call} was told {first:?}, then {answer:?}"));
+            self.violation = Some(format!(
+                "call {call} was answered {first:?}, then {answer:?}"
+            ));
         }
     }
 }
--- a/tests/world/step.rs
+++ b/tests/world/step.rs
@@ -1,6 +1,6 @@
-//! What can happen, and how much of it has.
+//! Steps of a random schedule, and counters of their effects.
 
-/// One thing that happens.
+/// One step of a random schedule.
 #[derive(Debug, Clone)]
 pub enum Step {
     Receipt {
@@ -12,22 +12,22 @@
         program: usize,
         tokens: u64,
     },
-    /// The oldest record of a VM gets into the log; the reply may be lost, a copy may follow.
+    /// Appends the oldest queued record of a VM; the reply may be lost, or the record sent twice.
     Append {
         vm: usize,
         lost: bool,
-        copied: bool,
+        duplicated: bool,
     },
-    /// A VM sends a read and its reply waits in the socket.
+    /// A VM requests a page of the log; the reply stays in its socket.
     Fetch {
         vm: usize,
     },
-    /// A VM takes in the reply that waits.
-    Take {
+    /// A VM applies the page in its socket.
+    ApplyPage {
         vm: usize,
     },
-    /// A VM gets all its records into the log and reads up to its end.
-    Turn {
+    /// A VM appends all its records and reads the log up to its end.
+    Sync {
         vm: usize,
     },
     Settle {
@@ -46,20 +46,20 @@
     Pause {
         vm: usize,
     },
-    Wake {
+    Resume {
         vm: usize,
     },
-    /// A late copy of a record arrives at the log.
+    /// A delayed duplicate of a record arrives at the log.
     Copy {
-        which: usize,
+        index: usize,
     },
-    /// A request on the wire takes effect.
+    /// A request in flight takes effect at the service.
     Serve {
-        which: usize,
+        index: usize,
     },
     /// The reply to a request arrives, or is lost.
     Reply {
-        which: usize,
+        index: usize,
         lost: bool,
     },
     Log {
@@ -70,19 +70,19 @@
     },
 }
 
-/// How much of what has happened.
+/// How often each outcome occurred, so that the test can tell that schedules exercise it.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct Counters {
     pub steps: u64,
     pub effects: u64,
     pub unknown: u64,
     pub dropped: u64,
     pub answered: u64,
     pub takeovers: u64,
-    pub void: u64,
+    pub fenced: u64,
 }
 
-impl Seen {
+impl Counters {
     pub fn add(&mut self, other: &Self) {
         self.steps += other.steps;
         self.effects += other.effects;
@@ -90,6 +90,6 @@
         self.dropped += other.dropped;
         self.answered += other.answered;
         self.takeovers += other.takeovers;
-        self.void += other.void;
+        self.fenced += other.fenced;
     }
 }
